--- a/ingress/protocols/__init__.py
+++ b/ingress/protocols/__init__.py
@@ -1,1 +1,1 @@
-"""Encoding and decoding of wire formats, with no socket."""
+"""Encoding and decoding of wire formats, independent of sockets."""
--- a/ingress/protocols/frame_scanner.py
+++ b/ingress/protocols/frame_scanner.py
@@ -1,32 +1,32 @@
-"""Scans RESP frames ahead of the parser, which allocates whatever a frame claims to hold."""
+"""Scans RESP frames ahead of the parser, which allocates as many elements as a frame announces."""
 
 from __future__ import annotations
 
 from ingress.protocols.resp import CRLF, LONG_VALUE_BYTES
 
-MAX_LINE_BYTES = 4096  # of a header or a simple line
-UNFINISHED = -1  # in place of the offset of a line's end that has not come
+MAX_LINE_BYTES = 4096  # limit of a header or a simple line
+UNFINISHED = -1  # returned instead of the offset of a line end that has not been received
 
-BULK_KINDS = b"$="  # of strings whose size the header tells
-MAP_KINDS = b"%|"  # of aggregates with two elements for each that the header tells
-SIZED_KINDS = b"$=*~>%|"  # of all headers that tell a size
+BULK_KINDS = b"$="  # headers that give the size of a string
+MAP_KINDS = b"%|"  # headers of aggregates that have two elements for each announced one
+SIZED_KINDS = b"$=*~>%|"  # all headers that give a size
 EMPTY_BULK = b"$0\r\n\r\n"
 
 
 class FrameScanner:
-    """Follows a stream of frames across reads, pipelined and nested.
+    """Tracks a stream of frames, pipelined and nested, across reads.
 
-    Guards the loop against a frame that claims a billion elements: the parser allocates all of them at once, and to
-    free them takes seconds.
+    Protects the event loop from a frame that announces a billion elements: the parser allocates all of them at once,
+    and freeing them takes seconds.
 
     Attributes:
-        max_elements: that one frame may claim, nested ones included.
-        string_bytes_left: of a bulk string, that are still to come.
-        expects_string_end: the line end behind a bulk string is still to come.
-        elements_due: of the frame at hand, still to come.
-        elements_claimed: of the frame at hand, in all.
-        partial_line: a line that has not ended.
-        frames_started: since the start.
+        max_elements: The limit of elements that one frame may announce, including nested ones.
+        string_bytes_left: The bytes of the current bulk string that are still to come.
+        expects_string_end: Whether the line end behind a bulk string is still to come.
+        elements_due: The elements of the current frame that are still to come.
+        elements_claimed: The elements that the current frame has announced so far.
+        partial_line: The received part of an incomplete line.
+        frames_started: The number of frames that have started.
     """
 
     def __init__(self, max_elements: int) -> None:
@@ -39,43 +39,43 @@
         self.frames_started = 0
 
     def in_frame(self) -> bool:
-        """Whether a frame has begun and not ended."""
+        """Report whether a frame has started and not ended."""
         return self.elements_due > 0 or self.string_bytes_left > 0 or self.expects_string_end or bool(self.partial_line)
 
     def complete_frames(self) -> int:
-        """How many frames have ended."""
+        """Return the number of frames that have ended."""
         return self.frames_started - (self.elements_due > 0 or self.string_bytes_left > 0 or self.expects_string_end)
 
     def check(self, data: bytes) -> int:
-        """Scans what has come.
+        """Scan received data.
 
         Returns:
-            How many bytes of `data` may be parsed: all, or those before a line that claims too much, or that does not
-            stand where the string before it said that it ends.
+            The number of bytes of `data` that may be parsed: all of them, or those before a line that announces too
+            many elements, is too long, or is not at the announced end of the string before it.
         """
-        before = self.partial_line
+        line_start = self.partial_line
         self.partial_line = b""
-        text = before + data if before else data
+        text = line_start + data if line_start else data
         offset = self.string_bytes_left
         while offset < len(text):
             end = self._line_end(text, offset)
             if end is None:
-                return max(0, offset - len(before))
+                return max(0, offset - len(line_start))
             if end == UNFINISHED:
                 self.partial_line = text[offset:]
                 offset = len(text)
                 break
             string_size = self._scan_line(text[offset : offset + 1], text[offset + 1 : end])
             if self.elements_claimed > self.max_elements:
-                return max(0, offset - len(before))
+                return max(0, offset - len(line_start))
             offset = end + len(CRLF) + string_size
         self.string_bytes_left = offset - len(text)
         return len(data)
 
     def _line_end(self, text: bytes, offset: int) -> int | None:
-        """The offset at which the line ends; UNFINISHED where it has not ended yet, None where it is not valid.
+        """Return the offset of the line's end; UNFINISHED if it has not been received, None if the line is not valid.
 
-        Guards against bytes in place of the line end behind a string, which the parser skips unseen.
+        Detects other bytes in place of the line end behind a string, which the parser skips without checking.
         """
         end = text.find(CRLF, offset)
         if self.expects_string_end:
@@ -83,7 +83,7 @@
         return None if end == UNFINISHED and len(text) - offset > MAX_LINE_BYTES else end
 
     def _scan_line(self, kind: bytes, text: bytes) -> int:
-        """Scans one line, without its kind; returns the size of the string that follows it."""
+        """Scan one line, without its kind; return the size of the string that follows it."""
         if self.expects_string_end:
             self.expects_string_end = False
             return 0
@@ -108,14 +108,14 @@
 
 
 class CommandScanner(FrameScanner):
-    """Scans a client's commands, and holds back a line that has not ended.
+    """Scans a client's commands, and holds back incomplete lines.
 
-    Stops at a last argument that is long: its bytes are passed on in chunks, and the parser gets an empty string in
-    its place.
+    Stops at a last argument that is long: its bytes are forwarded in chunks, and the parser gets an empty string
+    instead.
 
     Attributes:
-        long_argument_size: bytes of the long argument that follows; 0 if none does.
-        error: why what follows can't be parsed; empty while it can.
+        long_argument_size: The size of the long argument that follows; 0 if none does.
+        error: The reason why the following data can't be parsed; empty if it can.
     """
 
     def __init__(self, max_elements: int) -> None:
@@ -124,10 +124,10 @@
         self.error = ""
 
     def cut(self, data: bytes) -> tuple[bytes, bytes]:
-        """Scans what has come.
+        """Scan received data.
 
         Returns:
-            What the parser may have, and what comes behind the header of a long argument.
+            The data that may be parsed, and the data behind the header of a long argument.
         """
         text = self.partial_line + data
         self.partial_line = b""
@@ -150,7 +150,7 @@
         return text, b""
 
     def _hold_back(self, text: bytes, offset: int, is_valid: bool) -> bytes:
-        """Keeps a line that has not ended; returns what comes before it."""
+        """Keep an incomplete line; return the data before it."""
         if not is_valid:
             self.error = "a word that does not end where it said" if self.expects_string_end else "a line too long"
         self.string_bytes_left = 0
--- a/ingress/protocols/load_report.py
+++ b/ingress/protocols/load_report.py
@@ -1,4 +1,4 @@
-"""The names under which endpoints and the simulator report load, and the names used for the same values here."""
+"""The field names of load reports from endpoints and the simulator, mapped to the names used internally."""
 
 LOAD_REPORT_FIELDS = {
     "active": "inflight",
--- a/ingress/upstream/__init__.py
+++ b/ingress/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The side of endpoints: connections, attempts and health checks; and the client of the counter service."""
+"""The endpoint side: connections, attempts and health checks, and the client of the shared counter."""
--- a/ingress/upstream/attempt.py
+++ b/ingress/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered by an endpoint, from its start to its outcome."""
+"""One attempt to have an endpoint answer a request, from its start to its outcome."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from ingress.upstream.response_parser import AttemptResult, interpret_response
 
-MILLISECONDS = 1000  # in a second
-LEAST_TIME_LEFT = 1  # ms that an endpoint is given in any case: 0 would not be a valid time
-TIME_LEFT_FIELD = b"d="  # of the field in which a command names the time that is left, in ms
+MS_PER_SECOND = 1000
+MIN_TIME_LEFT_MS = 1  # 0 would not be a valid timeout in a command
+TIMEOUT_FIELD_PREFIX = b"d="  # prefix of the command field that gives the remaining time in milliseconds
 
 
 class CommandParts(Struct, frozen=True):
-    """A command as RESP, cut around the bulk string of its fields, which each attempt writes anew."""
+    """An encoded RESP command, split around the bulk string of its fields, which each attempt encodes again."""
 
     before: bytes
     fields: bytes
@@ -25,50 +25,50 @@
 
 
 class AttemptObserver(Protocol):
-    """Receives what happens to its attempts."""
+    """Interface that receives the events of its attempts."""
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        """Whether a response is still waited for, asked just before the first byte is written."""
+        """Report whether a response is still needed; called just before the first byte is written."""
         ...
 
     def attempt_writable(self, attempt: Attempt) -> None:
-        """The connection takes chunks of a body that is still being uploaded."""
+        """Handle a connection that is ready for chunks of a body that is still being uploaded."""
         ...
 
     def chunk_received(self, attempt: Attempt, chunk: bytes, size: int, is_last: bool) -> None:
-        """A chunk of a long value of `size` bytes has come, ahead of the end of the attempt."""
+        """Handle a chunk of a long value of `size` bytes, received before the attempt ends."""
         ...
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """The attempt is over; called exactly once for each attempt that was started."""
+        """Handle the end of the attempt; called exactly once for each attempt that was started."""
         ...
 
 
 class AttemptConnection(Protocol):
-    """What an attempt and the pool use of the connection that carries the attempt."""
+    """Interface that an attempt and the pool use of the connection that carries the attempt."""
 
     is_read_paused: bool
     is_write_paused: bool
     last_received_at: float
 
     def set_reading(self, enabled: bool) -> None:
-        """Reads on, or pauses reading."""
+        """Resume or pause reading."""
         ...
 
     def has_unsent_data(self) -> bool:
-        """Whether the system has not yet accepted everything that was written."""
+        """Report whether the kernel has not yet accepted everything that was written."""
         ...
 
     def write(self, data: bytes) -> None:
-        """Writes without waiting."""
+        """Write without blocking."""
         ...
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Closes the connection and ends its attempt as reset."""
+        """Close the connection and end its attempt as reset."""
         ...
 
     def close(self) -> None:
-        """Closes at once; the attempt is not notified."""
+        """Close immediately, without notifying the attempt."""
         ...
 
 
@@ -76,20 +76,20 @@
     """One attempt at one endpoint.
 
     Attributes:
-        observer: is notified of what happens to the attempt.
-        request_id: of the request.
-        number: of the attempt among those of its request.
-        endpoint_id: where it is sent.
-        started_at: when it was started (s, of the pool's clock).
-        deadline: when it times out.
-        command_parts: what is written.
-        is_complete: the body is known whole; else chunks follow, and the time-out runs from the last one.
-        start_by: nothing is written if the first byte would be written at this time or later.
-        connection: that carries it, once one does.
-        queue: in which it waits for a connection, while it does.
-        timeout_timer: ends it at the deadline.
-        has_ended: its observer has the result.
-        local_failure: it failed for lack of something in this process, not because of the endpoint.
+        observer: The receiver of the attempt's events.
+        request_id: The id of the request.
+        number: The number of this attempt among the attempts of its request.
+        endpoint_id: The id of the endpoint that the attempt is sent to.
+        started_at: The start time, in seconds of the pool's clock.
+        deadline: The time at which the attempt times out.
+        command_parts: The command to write.
+        is_complete: Whether the complete body is known; if not, chunks follow and the timeout starts with the last.
+        start_by: The time from which its first byte is no longer written.
+        connection: The connection that carries the attempt, once there is one.
+        queue: The queue in which the attempt waits for a connection, while it waits.
+        timeout_timer: The timer that ends the attempt at its deadline.
+        has_ended: Whether the observer has received the result.
+        local_failure: Whether it failed because this process lacked a resource, not because of the endpoint.
     """
 
     counts_as_forward: ClassVar[bool] = True
@@ -110,29 +110,31 @@
     local_failure: bool = False
 
     def pause(self) -> None:
-        """Back-pressure: reads no more of the value for now."""
+        """Apply back-pressure: stop reading the value until `resume`."""
         if self.connection is not None:
             self.connection.set_reading(False)
 
     def resume(self) -> None:
-        """Reads the value on after `pause`."""
+        """Resume reading the value after `pause`."""
         if self.connection is not None:
             self.connection.set_reading(True)
 
     def encode_command(self, now: float) -> bytes:
-        """The client's command, with the time that is left now in place of the time that the client named."""
+        """Return the client's command with the time that remains now in place of the client's own timeout."""
         parts = self.command_parts
         fields = parts.fields
         if self.is_complete:
-            time_left = max(LEAST_TIME_LEFT, int((self.deadline - now) * MILLISECONDS))
-            written = TIME_LEFT_FIELD + b"%d" % time_left
-            fields = b",".join(written if field.startswith(TIME_LEFT_FIELD) else field for field in fields.split(b","))
+            time_left_ms = max(MIN_TIME_LEFT_MS, int((self.deadline - now) * MS_PER_SECOND))
+            timeout_field = TIMEOUT_FIELD_PREFIX + b"%d" % time_left_ms
+            fields = b",".join(
+                timeout_field if field.startswith(TIMEOUT_FIELD_PREFIX) else field for field in fields.split(b",")
+            )
         return b"%b$%d\r\n%b%b" % (parts.before, len(fields), fields, parts.after)
 
     def is_unsent(self) -> bool:
-        """Whether the endpoint cannot have received the complete command yet."""
+        """Report whether the endpoint cannot have received the complete command yet."""
         return self.connection is None or self.connection.has_unsent_data()
 
     def interpret(self, reply: Any) -> AttemptResult:
-        """What a complete reply of the endpoint means for this attempt."""
+        """Return the meaning of a complete reply of the endpoint for this attempt."""
         return interpret_response(reply)
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -1,4 +1,4 @@
-"""Connections to one endpoint: each carries one request at a time, and rests idle between two."""
+"""Connections to one endpoint: each carries one request at a time and is idle between requests."""
 
 from __future__ import annotations
 
@@ -21,49 +21,49 @@
 
 log = logging.getLogger(__name__)
 
-MAX_RESPONSE_BYTES = 256 * 1024  # of a reply, beside a long value in it
-REUSE_DELAY = 0.02  # s after a reply: a duplicate of it that comes late must not pass for the next one's
+MAX_RESPONSE_BYTES = 256 * 1024  # limit of the part of a reply that is buffered: all but a long value
+REUSE_DELAY_S = 0.02  # a late duplicate of a reply must not be mistaken for the reply to the next attempt
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the pool that opened it."""
+    """Interface that a connection uses of the pool that opened it."""
 
     clock: Clock
 
     def read_buffer(self) -> memoryview:
-        """Where the next read goes; what was read is copied out before the read after that."""
+        """Return the buffer for the next read; callers copy the data out before another read overwrites it."""
         ...
 
     def forward_chunk(self, attempt: Attempt, chunk: bytes, size: int, is_last: bool) -> None:
-        """Hands on a chunk of a long value."""
+        """Forward a chunk of a long value."""
         ...
 
     def finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Ends an attempt; a second end is ignored."""
+        """End an attempt; repeated calls are ignored."""
         ...
 
     def release(self, connection: Connection) -> None:
-        """Takes back a connection that is idle again."""
+        """Take back a connection that is idle again."""
         ...
 
     def connection_closed(self, connection: Connection) -> None:
-        """Forgets a connection."""
+        """Remove a closed connection from the pool."""
         ...
 
 
 class EndpointConnections:
-    """One endpoint as it was discovered, its idle connections, and the attempts that wait for one.
+    """One discovered endpoint, its idle connections, and the attempts that wait for a connection.
 
-    Waiting attempts take whichever connection is free first: one that comes up, or one that another attempt releases.
+    A waiting attempt takes the first connection that becomes free: a new one, or one that another attempt releases.
 
     Attributes:
-        address: of the endpoint at present.
-        idle_connections: the one used last is the last.
-        waiting_attempts: the one that has waited longest is the first.
-        connecting: how many connections are coming up.
-        closes_at: from when on nothing new is written; None: there is no such time.
-        is_listed: the endpoint is still discovered.
-        wake_scheduled: a timer runs until an idle connection may be used again.
+        address: The current address of the endpoint.
+        idle_connections: The idle connections, the most recently used one last.
+        waiting_attempts: The waiting attempts, the one that has waited longest first.
+        connecting: The number of connections that are being established.
+        closes_at: The time from which nothing new is written to the endpoint; None if there is no such time.
+        is_listed: Whether the endpoint is still in the endpoint list.
+        wake_scheduled: Whether a timer runs until an idle connection may be used again.
     """
 
     __slots__ = (
@@ -86,16 +86,16 @@
         self.wake_scheduled = False
 
     def is_closed(self, now: float) -> bool:
-        """Whether nothing new may be written to it any more."""
+        """Report whether nothing new may be written to the endpoint."""
         return self.closes_at is not None and now >= self.closes_at
 
     def update(self, readiness: Readiness, address: Address, closes_at: float) -> None:
-        """Takes over what was discovered.
+        """Apply the state of the endpoint that discovery reported.
 
         Args:
-            readiness: of the endpoint.
-            address: to which it may have moved.
-            closes_at: when its grace ends if it starts to drain, or is removed, now.
+            readiness: The readiness of the endpoint.
+            address: The address of the endpoint, which may have changed.
+            closes_at: The time from which nothing new is written to it, if it starts to drain or is removed now.
         """
         if self.address != address:
             self.address = address
@@ -109,31 +109,31 @@
             self.closes_at = closes_at
 
     def remove(self, closes_at: float) -> None:
-        """The endpoint is not discovered any more."""
+        """Mark the endpoint as no longer listed."""
         if self.closes_at is None:
             self.closes_at = closes_at
         self.is_listed = False
         self.close_idle_connections()
 
     def close_idle_connections(self) -> None:
-        """Closes all connections that carry no attempt."""
+        """Close all connections that carry no attempt."""
         for connection in list(self.idle_connections):
             connection.close()
 
 
 class Connection(asyncio.BufferedProtocol):
-    """One connection to an endpoint.  To give up the attempt that it carries is to close it.
+    """One connection to an endpoint; an attempt is abandoned by closing the connection that carries it.
 
     Attributes:
-        attempt: that it carries at present.
-        is_open: it was not closed from here.
-        was_used: it has carried an attempt before.
-        idle_since: when its last attempt ended.
-        reusable_at: when it may carry the next attempt.
-        last_received_at: when a chunk of a long value came last, or reading was resumed.
-        is_read_paused: the client is slow to read.
-        is_write_paused: the endpoint is slow to read.
-        session_store: where its TLS session is stored once a reply has come; None: nowhere, or it is stored already.
+        attempt: The attempt that the connection carries now.
+        is_open: Whether this side has not closed the connection.
+        was_used: Whether the connection has carried an attempt before.
+        idle_since: The time at which its last attempt ended.
+        reusable_at: The time from which it may carry the next attempt.
+        last_received_at: The time at which a chunk of a long value was received, or reading paused or resumed, last.
+        is_read_paused: Whether reading is paused because the client reads slowly.
+        is_write_paused: Whether writing is paused because the endpoint reads slowly.
+        session_store: The store for its TLS session after the first reply; None without TLS, or once it is stored.
     """
 
     def __init__(
@@ -156,19 +156,19 @@
         self.session_store: ResumingContext | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop once the connection is established."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has a class of its own
+        """Keep the transport of the established connection; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
 
     def get_buffer(self, _sizehint: int) -> memoryview:
-        """Called by the loop before it reads."""
+        """Return the buffer for the next read; called by the event loop."""
         return self.owner.read_buffer()
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Called by the loop after it has read."""
+        """Process the bytes that were read into the buffer; called by the event loop."""
         self.data_received(bytes(self.owner.read_buffer()[:nbytes]))
 
     def set_reading(self, enabled: bool) -> None:
-        """Resumes or pauses reading."""
+        """Resume or pause reading."""
         if self.transport is None or self.transport.is_closing() or enabled is not self.is_read_paused:
             return
         self.is_read_paused = not enabled
@@ -179,7 +179,11 @@
             self.transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
-        """Feeds the reply at hand; data that no attempt waits for could pass for another's reply."""
+        """Parse received data as part of the current reply.
+
+        Data that arrives while no attempt is in flight closes the connection: it could be mistaken for the reply to the
+        next attempt.
+        """
         attempt = self.attempt
         if attempt is None:
             self.close()
@@ -190,7 +194,7 @@
             is_last = not self.reader.value_bytes_left
             reply = self.reader.take_response()
         except hiredis.ProtocolError as error:
-            log.warning("backend %s: broken answer: %s", attempt.endpoint_id, error)
+            log.warning("endpoint %s: closing the connection after a malformed reply: %s", attempt.endpoint_id, error)
             self._fail_malformed(attempt)
             return
         if chunk:
@@ -200,8 +204,13 @@
                 return
         if reply is not INCOMPLETE:
             self._complete(attempt, reply)
-        elif self.reader.held_bytes > MAX_RESPONSE_BYTES:
-            log.warning("backend %s: endless answer", attempt.endpoint_id)
+        elif self.reader.buffered_bytes > MAX_RESPONSE_BYTES:
+            log.warning(
+                "endpoint %s: closing the connection: the reply is incomplete after %d bytes, the limit is %d",
+                attempt.endpoint_id,
+                self.reader.buffered_bytes,
+                MAX_RESPONSE_BYTES,
+            )
             self._fail_malformed(attempt)
 
     def _fail_malformed(self, attempt: Attempt) -> None:
@@ -209,29 +218,29 @@
         self.owner.finish_attempt(attempt, AttemptResult(Outcome.MALFORMED))
 
     def _complete(self, attempt: Attempt, reply: Any) -> None:
-        """Ends the attempt with its reply; the connection is released, unless what follows could be of that reply."""
+        """End the attempt with its reply; release the connection unless more data could belong to the same reply."""
         self.attempt = None
         if self.session_store is not None and self.transport is not None:
-            self.session_store.keep(self.address, self.transport.get_extra_info("ssl_object"))
+            self.session_store.store_session(self.address, self.transport.get_extra_info("ssl_object"))
             self.session_store = None
         result = attempt.interpret(reply)
         if self.reader.has_data() or not attempt.is_complete or result.outcome is Outcome.MALFORMED:
             self.close()
         else:
-            self.reusable_at = self.owner.clock() + REUSE_DELAY
+            self.reusable_at = self.owner.clock() + REUSE_DELAY_S
             self.owner.release(self)
         self.set_reading(True)
         self.owner.finish_attempt(attempt, result)
 
     def eof_received(self) -> None:
-        """Called by the loop when the endpoint has ended its side."""
+        """Close the connection after the endpoint has closed its side; called by the event loop."""
         self.connection_lost(None)
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Closes, and ends the attempt at hand.
+        """Close the connection and end the current attempt.
 
-        Guards against an effect that happens twice: once any byte of a complete command was handed to the system, all
-        of it may have arrived and run.
+        Prevents a request from taking effect twice: once any byte of a complete command has been passed to the kernel,
+        the endpoint may have received and executed all of it, so the attempt ends as reset, not as a failed connect.
         """
         attempt = self.attempt
         self.attempt = None
@@ -241,47 +250,47 @@
             self.owner.finish_attempt(attempt, AttemptResult(outcome))
 
     def pause_writing(self) -> None:
-        """Called by the loop when the endpoint is slow to read."""
+        """Record that the endpoint reads slowly; called by the event loop."""
         self.is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Called by the loop when the endpoint has read on."""
+        """Continue an upload after the endpoint has caught up with reading; called by the event loop."""
         self.is_write_paused = False
         if self.attempt is not None and not self.attempt.is_complete:
             self.attempt.observer.attempt_writable(self.attempt)
 
     def write(self, data: bytes) -> None:
-        """Writes without waiting."""
+        """Write without blocking."""
         assert self.transport is not None
         self.transport.write(data)
 
     def has_unsent_data(self) -> bool:
-        """Whether the system has not yet accepted everything that was written."""
+        """Report whether the kernel has not yet accepted everything that was written."""
         return self.transport is None or self.transport.get_write_buffer_size() > 0
 
     def is_current(self) -> bool:
-        """Whether the endpoint is still listed at this address: after a move another one may answer here."""
+        """Report whether the endpoint is still listed at this address, where another one may answer after a move."""
         return self.endpoint.is_listed and self.address == self.endpoint.address
 
     def is_readable(self) -> bool:
-        """Whether the peer has closed or sent something that the loop has not reported yet."""
+        """Report whether the peer has closed or sent something that the event loop has not reported yet."""
         return peek_byte(self.socket) != b""
 
     def has_expired(self, idle_limit: float) -> bool:
-        """Whether it has been idle since before `idle_limit`, or can't be used because of what the peer did."""
+        """Report whether the connection has been idle since before `idle_limit`, or the peer made it unusable."""
         return self.idle_since < idle_limit or self.is_readable()
 
     def close(self) -> None:
-        """Closes at once, without telling the attempt.
+        """Close immediately, without notifying the attempt.
 
-        Guards against two attempts in flight together: the loop ends a connection only at its next turn, after the
-        next attempt may have been written; the shutdown goes out now.
+        Prevents two attempts from being in flight at the same time: the event loop closes a connection only in its next
+        iteration, after the next attempt may have been written, so the shutdown is sent now.
         """
         if not self.is_open:
             return
         self.is_open = False
         self.attempt = None
-        with contextlib.suppress(OSError):  # the peer was first
+        with contextlib.suppress(OSError):  # the peer has closed it already
             self.socket.shutdown(socket.SHUT_RDWR)
         if self.transport is not None:
             self.transport.abort()
--- a/ingress/upstream/connection_pool.py
+++ b/ingress/upstream/connection_pool.py
@@ -16,21 +16,29 @@
 from ingress.upstream.pool_settings import PoolSettings
 from ingress.upstream.response_parser import AttemptResult
 
-IDLE_SHARE = 0.6  # of the time after which an endpoint closes an idle connection: ours is closed before
-DRAIN_GRACE_SHARE = 0.8  # of the grace of a drain: nothing new is written after that
-SILENCE_TIMEOUT = 10.0  # s without a byte of a long value that has begun: longer than peers take between two chunks
-SWEEP_INTERVAL = 1.0  # s between checks for idle and silent connections
-MAX_CONNECTING_PER_ENDPOINT = 8  # connections that come up at a time: more attempts wait for these
-MAX_CONNECTING = 64  # over all endpoints: after a restart every ingress opens them at once
+IDLE_TIMEOUT_RATIO = 0.6  # idle connections are closed after this part of the idle timeout of the endpoints
+DRAIN_GRACE_RATIO = 0.8  # nothing new is written to a draining endpoint after this part of its grace period
+SILENCE_TIMEOUT = 10.0  # seconds without data in the middle of a long value; peers pause less between two chunks
+SWEEP_INTERVAL = 1.0  # seconds between two checks for idle and silent connections
+MAX_CONNECTING_PER_ENDPOINT = 8  # limit of connections being established at a time; more attempts wait for these
+MAX_CONNECTING = 64  # the limit over all endpoints: after a restart every ingress opens connections at once
 
 CONNECT_FAILED = AttemptResult(Outcome.CONNECT_FAILED)
 NOT_SENT = AttemptResult(Outcome.NOT_SENT)
 
 
 class ConnectionPool:
-    """Connections to all endpoints.
+    """The connections to all endpoints.
 
     Each attempt that is started ends exactly once, with a call of its observer's `attempt_ended`.
+
+    Attributes:
+        streaming: The attempts whose long value is being forwarded.
+        connection_count: The number of connections that are open or being established.
+        connecting: The number of connections that are being established.
+        connect_queue: The endpoints that wait until the limit allows them to open more connections, in order.
+        opened_count: The number of connections that were started since the start of the process.
+        reused_count: The number of attempts that used a connection which had carried another attempt.
     """
 
     def __init__(self, settings: PoolSettings, clock: Clock, metrics: Metrics, budget: MemoryBudget) -> None:
@@ -43,53 +51,53 @@
         self.set_time_limits(settings.idle_timeout, settings.drain_grace)
         self.loop = asyncio.get_running_loop()
         self.endpoints: dict[str, EndpointConnections] = {}
-        self.streaming: set[Attempt] = set()  # whose long value is being passed on
-        self.connection_count = 0  # open or coming up
-        self.connecting = 0  # of them, those that come up
-        self.connect_queue: dict[EndpointConnections, None] = {}  # endpoints that wait for their turn to open more
+        self.streaming: set[Attempt] = set()
+        self.connection_count = 0
+        self.connecting = 0
+        self.connect_queue: dict[EndpointConnections, None] = {}  # an ordered set
         self.opened_count = 0
-        self.reused_count = 0  # attempts that took a connection which had carried another
+        self.reused_count = 0
         self.connector = Connector()
         self.tasks: set[asyncio.Task[None]] = set()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
 
     def set_time_limits(self, idle_timeout: float, drain_grace: float) -> None:
-        """Sets for how long endpoints keep idle connections, and take new requests while they drain (s)."""
-        self.max_idle = idle_timeout * IDLE_SHARE
-        self.drain_grace = drain_grace * DRAIN_GRACE_SHARE
+        """Set how long (in seconds) endpoints keep idle connections, and accept requests while draining."""
+        self.max_idle = idle_timeout * IDLE_TIMEOUT_RATIO
+        self.drain_grace = drain_grace * DRAIN_GRACE_RATIO
 
     # Endpoints
 
     def update_endpoints(
         self, is_complete: bool, endpoints: tuple[Endpoint, ...], addresses: dict[str, Address]
     ) -> None:
-        """Takes over what was discovered.
+        """Apply a complete endpoint list, or a set of changes to it.
 
         Args:
-            is_complete: endpoints that are not among these are gone.
-            endpoints: that are new or have changed.
-            addresses: of these, by their ids.
+            is_complete: Whether endpoints that are missing here have been removed.
+            endpoints: The endpoints that are new or have changed.
+            addresses: The addresses of these endpoints by id.
         """
         now = self.clock()
         closes_at = now + self.drain_grace
         if is_complete:
             for endpoint_id in self.endpoints.keys() - addresses.keys():
                 self.endpoints[endpoint_id].remove(closes_at)
-        for info in endpoints:
-            address = addresses[info.id]
-            if info.id not in self.endpoints:
-                self.endpoints[info.id] = EndpointConnections(address)
-            self.endpoints[info.id].update(info.readiness, address, closes_at)
+        for listed in endpoints:
+            address = addresses[listed.id]
+            if listed.id not in self.endpoints:
+                self.endpoints[listed.id] = EndpointConnections(address)
+            self.endpoints[listed.id].update(listed.readiness, address, closes_at)
         for endpoint_id, endpoint in list(self.endpoints.items()):
             if not endpoint.is_listed and endpoint.closes_at is not None and now > endpoint.closes_at:
                 del self.endpoints[endpoint_id]
 
     def addresses(self) -> dict[str, Address]:
-        """The addresses of the listed endpoints by their ids."""
+        """Return the addresses of the listed endpoints by id."""
         return {endpoint_id: endpoint.address for endpoint_id, endpoint in self.endpoints.items() if endpoint.is_listed}
 
     def counts(self) -> dict[str, int]:
-        """Metrics of the connections: at present, and since the start."""
+        """Return the metrics of the connections: current values, and counts since the start."""
         return {
             "connections.servers": self.connection_count,
             "connections.coming": self.connecting,
@@ -98,18 +106,18 @@
         }
 
     def listed_count(self) -> int:
-        """How many endpoints are listed."""
+        """Return the number of listed endpoints."""
         return sum(endpoint.is_listed for endpoint in self.endpoints.values())
 
     def close_idle_connections(self, endpoint_id: str) -> None:
-        """Closes the connections to one endpoint that carry no attempt."""
+        """Close the connections to one endpoint that carry no attempt."""
         if endpoint_id in self.endpoints:
             self.endpoints[endpoint_id].close_idle_connections()
 
     # Attempts
 
     def start_attempt(self, attempt: Attempt) -> None:
-        """Writes the attempt to an idle connection, or queues it until one is free."""
+        """Write the attempt to an idle connection, or queue it until a connection is free."""
         endpoint = self.endpoints.get(attempt.endpoint_id)
         time_left = attempt.deadline - attempt.started_at
         if endpoint is None or time_left <= 0 or endpoint.is_closed(self.clock()):
@@ -124,18 +132,18 @@
             self._open_connections(endpoint)
 
     def cancel_attempt(self, attempt: Attempt) -> None:
-        """Ends the attempt as cancelled, and closes the connection that carries it."""
+        """End the attempt as cancelled, and close the connection that carries it."""
         self._abandon(attempt, Outcome.CANCELLED)
 
     def cancel_unsent(self, attempt: Attempt) -> None:
-        """Ends an attempt whose request is over, unless its endpoint may have received it completely."""
+        """End an attempt whose request has ended, unless its endpoint may have received it completely."""
         if attempt.connection is None:
             self.finish_attempt(attempt, NOT_SENT)
         elif attempt.is_unsent():
             self._abandon(attempt, Outcome.CANCELLED)
 
     def finish_attempt(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Ends the attempt and tells its observer; a second end is ignored."""
+        """End the attempt and notify its observer; repeated calls are ignored."""
         if attempt.has_ended:
             return
         attempt.has_ended = True
@@ -150,7 +158,7 @@
         attempt.observer.attempt_ended(attempt, result)
 
     def forward_chunk(self, attempt: Attempt, chunk: bytes, size: int, is_last: bool) -> None:
-        """Hands a chunk of a long value to the observer; an endpoint that still sends is not timed out."""
+        """Pass a chunk of a long value to the observer; an endpoint that is still sending is not timed out."""
         if attempt not in self.streaming:
             self.streaming.add(attempt)
             self.budget.streaming_responses = len(self.streaming)
@@ -159,15 +167,15 @@
         attempt.observer.chunk_received(attempt, chunk, size, is_last)
 
     def write_chunk(self, attempt: Attempt, chunk: bytes, deadline: float | None) -> bool:
-        """Writes a chunk of the body of an attempt.
+        """Write a chunk of the body of an attempt.
 
         Args:
-            attempt: whose body is uploaded.
-            chunk: of it.
-            deadline: of the attempt, given with the last chunk.
+            attempt: The attempt whose body is uploaded.
+            chunk: The next bytes of the body.
+            deadline: The deadline of the attempt, given with the last chunk only.
 
         Returns:
-            Whether the endpoint takes more.
+            Whether the endpoint accepts more data.
         """
         connection = attempt.connection
         if connection is None:
@@ -182,7 +190,7 @@
         return not connection.is_write_paused
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
-        """Ends an attempt at its deadline; one that was never written never ran."""
+        """End an attempt at its deadline; one that was never written never ran and ends as a failed connect."""
         self._abandon(attempt, Outcome.TIMEOUT if attempt.connection else Outcome.CONNECT_FAILED)
 
     def _abandon(self, attempt: Attempt, outcome: Outcome) -> None:
@@ -195,11 +203,11 @@
             self.finish_attempt(attempt, CONNECT_FAILED)
 
     def _serve_queue(self, endpoint: EndpointConnections) -> None:
-        """Gives idle connections to waiting attempts, the connection used last first.
+        """Assign idle connections to waiting attempts, the most recently used connection first.
 
-        The one place where an attempt is written.  Guards against decisions that are out of date by now: the client
-        may have left, another attempt may have answered, a retry may come too late to be recognised as one, and a
-        duplicate of the reply before may be on its way.
+        This is the only place where an attempt is written. It checks again what may have changed since the attempt was
+        queued: the client may have disconnected, another attempt may have answered, a retry may come too late to be
+        recognised as a retry, and a duplicate of the previous reply may be on its way.
         """
         now = self.clock()
         if endpoint.is_closed(now):
@@ -217,10 +225,10 @@
             self._write_attempt(connection, attempt)
 
     def _take_idle_connection(self, endpoint: EndpointConnections, now: float) -> Connection | None:
-        """The connection used last among those that may be reused by now.
+        """Take the most recently used connection that may be reused now.
 
-        Guards against a request on a connection that its endpoint is about to close: between two sweeps one may rest
-        for longer than an endpoint with a short idle time-out keeps it.
+        Prevents sending a request on a connection that the endpoint is about to close: between two sweeps a connection
+        may be idle for longer than an endpoint with a short idle timeout keeps it open.
         """
         next_reusable_at = inf
         for connection in endpoint.idle_connections[::-1]:
@@ -255,7 +263,7 @@
     # Opening connections
 
     def _open_connections(self, endpoint: EndpointConnections) -> None:
-        """Opens a connection for each attempt that no idle one will serve, within the limits."""
+        """Open a connection for each attempt that no idle connection will serve, within the limits."""
         while endpoint.connecting < min(
             len(endpoint.waiting_attempts) - len(endpoint.idle_connections), MAX_CONNECTING_PER_ENDPOINT
         ):
@@ -274,7 +282,7 @@
             task.add_done_callback(self.tasks.discard)
 
     async def _connect(self, endpoint: EndpointConnections) -> None:
-        """Opens one connection and gives it to the waiting attempts."""
+        """Open one connection and make it available to the waiting attempts."""
         started_at = self.clock()
         try:
             connection = await self.connector.connect(self, endpoint)
@@ -291,12 +299,12 @@
         if not connection.is_open:
             self._connect_failed(endpoint, is_local=False)
         elif endpoint.is_closed(self.clock()):
-            # Guards against new requests to an endpoint whose grace ran out while the connection came up.
+            # Prevents new requests to an endpoint whose grace period ended while the connection was established.
             connection.close()
             self._connect_failed(endpoint, is_local=False)
         else:
             self.release(connection)
-            self._open_connections(endpoint)  # for the attempts that the limits have kept in the queue
+            self._open_connections(endpoint)  # for attempts that the limits have kept in the queue
 
     def _connect_ended(self, endpoint: EndpointConnections) -> None:
         self.connecting -= 1
@@ -305,16 +313,16 @@
             self.loop.call_soon(self._serve_connect_queue)
 
     def _serve_connect_queue(self) -> None:
-        """Opens connections to the endpoint that has waited longest for its turn."""
+        """Open connections to the endpoint that has waited longest for the limit."""
         if self.connect_queue and self.connecting < MAX_CONNECTING:
             endpoint = next(iter(self.connect_queue))
             del self.connect_queue[endpoint]
             self._open_connections(endpoint)
 
     def _connect_failed(self, endpoint: EndpointConnections, is_local: bool) -> None:
-        """Ends the attempt that has waited longest, and all that have waited for a connect time-out.
+        """End the attempt that has waited longest, and all that have waited for at least the connect timeout.
 
-        None of them ran.  For the others another connection is opened.
+        None of them was sent. For the remaining attempts another connection is opened.
         """
         started_before = self.clock() - self.connect_timeout
         for attempt in list(endpoint.waiting_attempts):
@@ -330,7 +338,7 @@
             self._open_connections(endpoint)
 
     def _fail_unservable(self, endpoint: EndpointConnections) -> None:
-        """Ends the attempts for which no connection comes up; it is not the endpoint's fault."""
+        """End the attempts for which no connection is being established, as failed for a local reason."""
         for attempt in list(endpoint.waiting_attempts)[endpoint.connecting :]:
             attempt.local_failure = True
             self.finish_attempt(attempt, CONNECT_FAILED)
@@ -338,11 +346,11 @@
     # Connections
 
     def read_buffer(self) -> memoryview:
-        """Where a connection reads to; all share one buffer, and copy out what they read."""
+        """Return the buffer for the next read; all connections share it and copy out what they read."""
         return self.buffer[: self.budget.stream_window()]
 
     def release(self, connection: Connection) -> None:
-        """Takes a free connection back: the attempt that has waited longest gets it once it may be reused."""
+        """Take back a free connection: the attempt that has waited longest gets it once it may be reused."""
         endpoint = connection.endpoint
         if connection.is_current():
             if connection.is_open:
@@ -352,25 +360,25 @@
             return
         connection.close()
         if endpoint.is_listed and not endpoint.is_closed(self.clock()):
-            self._open_connections(endpoint)  # at its present address
+            self._open_connections(endpoint)  # at its current address
         else:
             self._fail_queue(endpoint)
 
     def connection_closed(self, connection: Connection) -> None:
-        """Forgets a connection."""
+        """Remove a closed connection from the pool."""
         self.connection_count -= 1
         idle_connections = connection.endpoint.idle_connections
         if connection in idle_connections:
             idle_connections.remove(connection)
 
     def resize(self, max_connections: int) -> None:
-        """Changes the limit; idle connections above it are closed."""
+        """Change the connection limit; idle connections above it are closed."""
         self.max_connections = max_connections
         while self.connection_count > max_connections and self._close_longest_idle():
             pass
 
     def _close_longest_idle(self) -> bool:
-        """Closes the connection that has been idle longest, over all endpoints; False if there is none."""
+        """Close the connection that has been idle longest over all endpoints; return False if there is none."""
         longest_idle = min(
             (endpoint.idle_connections[0] for endpoint in self.endpoints.values() if endpoint.idle_connections),
             key=lambda connection: connection.idle_since,
@@ -382,7 +390,7 @@
         return True
 
     def _sweep(self) -> None:
-        """Closes connections that are idle for long, or silent within a long value."""
+        """Close connections that have been idle too long, or have stalled within a long value."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL, self._sweep)
         now = self.clock()
         for endpoint in self.endpoints.values():
@@ -395,7 +403,7 @@
                 connection.connection_lost(None)
 
     def close(self) -> None:
-        """Stops the sweeps and closes idle connections."""
+        """Stop the sweeps and close the idle connections."""
         self.sweep_timer.cancel()
         for endpoint in self.endpoints.values():
             endpoint.close_idle_connections()
--- a/ingress/upstream/connector.py
+++ b/ingress/upstream/connector.py
@@ -1,4 +1,4 @@
-"""Opens connections to endpoints: the TCP connect, and the TLS handshake where it is configured."""
+"""Opens connections to endpoints: the TCP connect, and the TLS handshake where TLS is configured."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 if TYPE_CHECKING:
     from ingress.runtime.tls import Tls
 
-LOST_PATH_TIMEOUTS = 4.0  # connect time-outs in which nothing written is acknowledged: the path is lost
-TLS_HANDSHAKE_TIMEOUTS = 4.0  # connect time-outs that a handshake may take: it costs both sides work
-LATE_TIMEOUTS = 2.0  # connect time-outs after which a time-out shows that this process was too busy to look in time
+# Durations as multiples of the connect timeout.
+UNACKNOWLEDGED_TIMEOUT_RATIO = 4.0  # the network path is lost if written data is not acknowledged for longer
+TLS_HANDSHAKE_TIMEOUT_RATIO = 4.0  # longer than a TCP connect, because a handshake costs both sides CPU time
+LATE_TIMEOUT_RATIO = 2.0  # a timeout reported later than this means that this process was too busy to check in time
 
-# Errors of a connect that say that this process has no descriptor, port or memory left.
+# Connect errors that mean that this process has no file descriptor, port or memory left.
 LOCAL_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
 
 class ConnectingPool(ConnectionOwner, Protocol):
-    """What opening a connection needs of the pool."""
+    """Interface of the pool that opening a connection uses."""
 
     loop: asyncio.AbstractEventLoop
     connect_timeout: float
@@ -31,11 +32,11 @@
 
 
 class Connector:
-    """Opens connections, one call each.
+    """Opens connections to endpoints.
 
     Attributes:
-        tls: context and expected name for connections that come up from now on; None: plaintext.
-        resumed_sessions: handshakes that a stored session has shortened.
+        tls: The TLS context and expected peer name of new connections; None for plaintext.
+        resumed_sessions: The number of handshakes that resumed a stored session.
     """
 
     def __init__(self) -> None:
@@ -43,10 +44,10 @@
         self.resumed_sessions = 0
 
     async def connect(self, pool: ConnectingPool, endpoint: EndpointConnections) -> Connection:
-        """A connection that can carry a request: with TLS, after the handshake.
+        """Return a connection that is ready to carry a request, after the handshake if TLS is configured.
 
         Raises:
-            OSError: it did not come up; a TimeoutError if that took too long.
+            OSError: The connection could not be established; a TimeoutError if that took too long.
         """
         address = endpoint.address
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
@@ -55,26 +56,26 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             async with asyncio.timeout(pool.connect_timeout):
                 await pool.loop.sock_connect(sock, address)
-            enable_keepalive(sock, LOST_PATH_TIMEOUTS * pool.connect_timeout)
+            enable_keepalive(sock, UNACKNOWLEDGED_TIMEOUT_RATIO * pool.connect_timeout)
             return await self._start_protocol(pool, Connection(pool, endpoint, address, sock))
         except BaseException:
             sock.close()
             raise
 
     async def _start_protocol(self, pool: ConnectingPool, connection: Connection) -> Connection:
-        """Attaches the connection to the loop."""
+        """Attach the connection to the event loop."""
         tls = self.tls
         if tls is None:
             await pool.loop.create_connection(lambda: connection, sock=connection.socket)
             return connection
         if isinstance(tls.context, ResumingContext):
-            tls.context.dial(connection.address, alone=pool.connecting == 1)
+            tls.context.expect_handshake(connection.address, is_only_one=pool.connecting == 1)
         await pool.loop.create_connection(
             lambda: connection,
             sock=connection.socket,
             ssl=tls.context,
             server_hostname=tls.peer_name or connection.address[0],
-            ssl_handshake_timeout=TLS_HANDSHAKE_TIMEOUTS * pool.connect_timeout,
+            ssl_handshake_timeout=TLS_HANDSHAKE_TIMEOUT_RATIO * pool.connect_timeout,
         )
         connection.session_store = tls.context if isinstance(tls.context, ResumingContext) else None
         assert connection.transport is not None
@@ -83,12 +84,12 @@
 
 
 def is_local_failure(error: OSError, elapsed: float, timeout: float) -> bool:
-    """Whether a connect failed because of what this process lacks, not because of the endpoint.
+    """Report whether a connect failed because this process lacked a resource, not because of the endpoint.
 
     Args:
-        error: with which it failed.
-        elapsed: s that it took; far above the time-out, this process was too busy to look in time.
-        timeout: of the connect, in s.
+        error: The error of the connect.
+        elapsed: The duration of the connect in seconds; far above the timeout, this process was too busy to react.
+        timeout: The connect timeout in seconds.
     """
-    is_late = isinstance(error, TimeoutError) and elapsed > LATE_TIMEOUTS * timeout
+    is_late = isinstance(error, TimeoutError) and elapsed > LATE_TIMEOUT_RATIO * timeout
     return is_late or error.errno in LOCAL_ERRORS
--- a/ingress/upstream/counter_client.py
+++ b/ingress/upstream/counter_client.py
@@ -16,21 +16,21 @@
 
 log = logging.getLogger(__name__)
 
-CONNECT_TIMEOUT = 0.25  # s
-DEFAULT_CALL_TIMEOUT = 0.05  # s, where the settings name none
-IDLE_TIMEOUT = 8.0  # s: the counter closes a connection that is idle for about 10
-LEAST_IDLE_CHECK_DELAY = 0.5  # s between two checks for an idle connection
-SILENCE_TIMEOUTS = 2  # call time-outs after which a connection that owes a reply and is silent is replaced
-MAX_WAITING_CALLS = 2000  # calls that wait for a reply or a connection; more are rejected
-MAX_LINE_BYTES = 4096  # of a reply
-MAX_LIFETIME_MS = 60_000  # that a call may ask for
-MILLISECONDS = 1000  # in a second
-TOTAL = re.compile(rb"-?[0-9]{1,30}(\.[0-9]{1,30})?([eE][-+]?[0-9]{1,2})?")  # a finite number
-LOGGED_BYTES = 80  # of a reply that is not understood
+CONNECT_TIMEOUT_S = 0.25
+DEFAULT_CALL_TIMEOUT_S = 0.05  # used if the settings give no timeout
+IDLE_TIMEOUT_S = 8.0  # the counter itself closes a connection that has been idle for about 10 s
+MIN_IDLE_CHECK_DELAY_S = 0.5
+SILENCE_TIMEOUT_RATIO = 2  # a connection without a due reply for this many call timeouts is replaced
+MAX_WAITING_CALLS = 2000  # limit of calls that wait for a reply or a connection; more are rejected
+MAX_LINE_BYTES = 4096
+MAX_LIFETIME_MS = 60_000  # longer lifetimes are shortened to this
+MS_PER_SECOND = 1000
+TOTAL = re.compile(rb"-?[0-9]{1,30}(\.[0-9]{1,30})?([eE][-+]?[0-9]{1,2})?")  # matches finite numbers only
+MAX_LOGGED_BYTES = 80  # limit of the part of an invalid reply that is logged
 
 
 class CounterCall:
-    """One call, up to its `CounterReply`."""
+    """One call, until its `CounterReply` is reported."""
 
     __slots__ = ("command", "is_reported", "made_at", "name", "timeout_timer")
 
@@ -46,9 +46,9 @@
     """One connection to the counter.
 
     Attributes:
-        pending_calls: written and not answered, in their order.
-        last_received_at: when the counter last replied.
-        is_retired: the counter is elsewhere now, and no more calls are written here.
+        pending_calls: The calls that were written and not answered, in order.
+        last_received_at: The time of the last data from the counter.
+        is_retired: Whether no more calls are written here because the counter has moved.
     """
 
     def __init__(self, client: CounterClient) -> None:
@@ -60,44 +60,47 @@
         self.is_retired = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Called by the loop once the connection is established."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has a class of its own
+        """Keep the transport of the established connection; called by the event loop."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
 
     def is_silent(self, now: float) -> bool:
-        """Whether it owes a reply and has received nothing for long; a congested counter replies, if late."""
+        """Report whether a reply is pending and nothing has been received for too long.
+
+        A congested counter still replies, if late, and is not silent.
+        """
         if not self.pending_calls:
             return False
         since = max(self.last_received_at, self.pending_calls[0].made_at)
-        return now - since > SILENCE_TIMEOUTS * self.client.timeout
+        return now - since > SILENCE_TIMEOUT_RATIO * self.client.timeout
 
     def data_received(self, data: bytes) -> None:
-        """Matches each complete line to the call that has waited longest."""
+        """Match each complete line to the call that has waited longest."""
         self.last_received_at = self.client.clock()
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             if not self.pending_calls:
-                log.warning("counter: an answer that nothing asked for")
+                log.warning("counter: closing the connection: received a reply without a pending call")
                 self.close()
                 return
             if not self.client.handle_reply(self.pending_calls.popleft(), line.rstrip(b"\r")):
-                self.close()  # which call the next reply belongs to is not known any more
+                self.close()  # the next reply can no longer be matched to a call
                 return
         if len(self.partial_line) > MAX_LINE_BYTES:
-            log.warning("counter: an endless line")
+            log.warning("counter: closing the connection: a reply line exceeds %d bytes", MAX_LINE_BYTES)
             self.close()
         elif self.is_retired and not self.pending_calls:
             self.close()
 
     def eof_received(self) -> None:
-        """Called by the loop when the counter has ended its side."""
+        """Close the connection after the counter has closed its side; called by the event loop."""
         self.close()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Called by the loop when the connection is gone."""
+        """Close the connection after it was lost; called by the event loop."""
         self.close()
 
     def retire(self, timeout: float) -> None:
-        """Writes no more calls; closes once those in flight are answered, or after `timeout` s."""
+        """Stop writing calls; close once those in flight are answered, or after `timeout` seconds."""
         self.is_retired = True
         if self.pending_calls:
             self.client.loop.call_later(timeout, self.close)
@@ -105,7 +108,7 @@
             self.close()
 
     def close(self) -> None:
-        """Closes at once; what was written on it may have been added."""
+        """Close immediately; amounts written on this connection may have been added."""
         if self.transport is not None:
             self.transport.abort()
             self.transport = None
@@ -115,24 +118,24 @@
 
 
 class CounterClient:
-    """Calls to the counter; each gets exactly one `CounterReply`."""
+    """Sends calls to the counter; each call results in exactly one `CounterReply`."""
 
     def __init__(
         self, address: Address, timeout: float, clock: Clock, on_reply: Callable[[CounterReply], None]
     ) -> None:
         self.address = address
-        self.timeout = timeout or DEFAULT_CALL_TIMEOUT
+        self.timeout = timeout or DEFAULT_CALL_TIMEOUT_S
         self.clock = clock
         self.on_reply = on_reply
         self.loop = asyncio.get_running_loop()
         self.connection: CounterConnection | None = None
         self.connect_task: asyncio.Task[None] | None = None
-        self.queued_calls: deque[CounterCall] = deque()  # wait for the connection to come up
+        self.queued_calls: deque[CounterCall] = deque()  # until the connection is established
         self.last_written_at = 0.0
         self.idle_timer: asyncio.TimerHandle | None = None
 
     def change_address(self, address: Address) -> None:
-        """Sends calls to `address` from now on; those on the old connection may still be answered there."""
+        """Send further calls to `address`; calls on the old connection may still be answered there."""
         if address == self.address:
             return
         self.address = address
@@ -142,14 +145,14 @@
             connection.retire(self.timeout)
 
     def call(self, name: int, amount: float, lifetime: float) -> None:
-        """Adds an amount to a counter.
+        """Add an amount to a counter.
 
         Args:
-            name: of the counter.
-            amount: may be negative.
-            lifetime: s after which the counter forgets it.
+            name: The name of the counter.
+            amount: The amount to add, which may be negative.
+            lifetime: The seconds after which the counter expires.
         """
-        lifetime_ms = min(max(1, round(lifetime * MILLISECONDS)), MAX_LIFETIME_MS)
+        lifetime_ms = min(max(1, round(lifetime * MS_PER_SECOND)), MAX_LIFETIME_MS)
         command = b"add %d %s %d\r\n" % (name, _encode_decimal(amount), lifetime_ms)
         call = CounterCall(name, command, self.clock())
         if self._waiting_count() >= MAX_WAITING_CALLS:
@@ -169,9 +172,12 @@
         return len(self.queued_calls) + in_flight
 
     def _replace_silent_connection(self) -> None:
-        """Guards against a connection that is open and silent: its calls would all time out for ever."""
+        """Close the connection if it is silent, so that the next call opens another one.
+
+        Prevents every call from timing out on a connection that stays open but no longer delivers replies.
+        """
         if self.connection is not None and self.connection.is_silent(self.clock()):
-            log.warning("counter: silent connection replaced")
+            log.warning("counter: replacing a connection that stopped answering")
             self.connection.close()
 
     def _write(self, connection: CounterConnection, call: CounterCall) -> None:
@@ -181,12 +187,12 @@
         self.last_written_at = call.made_at
 
     async def _connect(self) -> None:
-        """Opens a connection for the queued calls; one more if the counter has moved meanwhile."""
+        """Open a connection for the queued calls, and another one if the counter moves meanwhile."""
         connection: CounterConnection | None = None
         address = None
         while connection is None and address != self.address:
             address = self.address
-            connection = await self._dial(address)
+            connection = await self._open_connection(address)
             if connection is not None and address != self.address:
                 connection.close()
                 connection = None
@@ -200,35 +206,39 @@
         self.connection = connection
         self.last_written_at = self.clock()
         if self.idle_timer is None:
-            self.idle_timer = self.loop.call_later(IDLE_TIMEOUT, self._check_idle)
+            self.idle_timer = self.loop.call_later(IDLE_TIMEOUT_S, self._check_idle)
         for call in calls:
-            if not call.is_reported:  # those that are were reported as not added
+            if not call.is_reported:  # a reported call was reported as not added
                 self._write(connection, call)
 
-    async def _dial(self, address: Address) -> CounterConnection | None:
+    async def _open_connection(self, address: Address) -> CounterConnection | None:
         try:
-            async with asyncio.timeout(CONNECT_TIMEOUT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.loop.create_connection(lambda: CounterConnection(self), *address)
         except (OSError, TimeoutError) as error:
-            log.debug("counter: %s", error)
+            log.debug("counter: connecting to %s:%d failed: %s", *address, error)
             return None
         return connection
 
     def _check_idle(self) -> None:
-        """Closes an idle connection.  Guards against a call that crosses the counter's own closing of it."""
+        """Close the connection if it is idle.
+
+        Prevents a call from being written just as the counter closes the idle connection itself.
+        """
         self.idle_timer = None
         if self.connection is None:
             return
-        time_left = self.last_written_at + IDLE_TIMEOUT - self.clock()
+        time_left = self.last_written_at + IDLE_TIMEOUT_S - self.clock()
         if time_left <= 0 and not self.connection.pending_calls:
             self.connection.close()
         else:
-            self.idle_timer = self.loop.call_later(max(time_left, LEAST_IDLE_CHECK_DELAY), self._check_idle)
+            self.idle_timer = self.loop.call_later(max(time_left, MIN_IDLE_CHECK_DELAY_S), self._check_idle)
 
     def _call_timed_out(self, call: CounterCall) -> None:
-        """Reports the time-out of a call.
+        """Report that a call timed out.
 
-        One that was written may have been added, or may yet be; its place in the order of replies stays.
+        The amount of a call that was written may have been added, or may still be; the call keeps its place in the
+        order of replies.
         """
         call.timeout_timer = None
         is_queued = any(other is call for other in self.queued_calls)
@@ -236,10 +246,10 @@
         self._replace_silent_connection()
 
     def handle_reply(self, call: CounterCall, line: bytes) -> bool:
-        """Reports the reply to a call.
+        """Report the reply to a call.
 
         Returns:
-            Whether the line makes sense; after one that does not, the amount may have been added.
+            Whether the line is a valid reply; if not, the amount may have been added.
         """
         kind, _, rest = line.partition(b" ")
         if kind == b"ok" and TOTAL.fullmatch(rest):
@@ -247,16 +257,16 @@
         elif line == b"busy":
             self.report(call, Outcome.REJECTED)
         elif kind == b"error":
-            log.warning("counter: call turned down: %r", call.command)
+            log.warning("counter: call rejected with an error: %r", call.command)
             self.report(call, Outcome.REJECTED)
         else:
-            log.warning("counter: strange answer %r", line[:LOGGED_BYTES])
+            log.warning("counter: closing the connection after an invalid reply: %r", line[:MAX_LOGGED_BYTES])
             self.report(call, Outcome.TIMEOUT)
             return False
         return True
 
     def report(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
-        """Ends a call with its one `CounterReply`; a second report is ignored."""
+        """End a call with its only `CounterReply`; repeated calls are ignored."""
         if call.is_reported:
             return
         call.is_reported = True
@@ -265,17 +275,17 @@
         self.on_reply(CounterReply(call.name, outcome, total, self.clock() - call.made_at))
 
     def connection_lost(self, connection: CounterConnection) -> None:
-        """Forgets a connection; the next call opens another."""
+        """Remove a closed connection; the next call opens another."""
         if self.connection is connection:
             self.connection = None
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
         if self.connection is not None:
             self.connection.close()
 
 
 def _encode_decimal(value: float) -> bytes:
-    """A plain decimal number: no exponent, no more digits than needed."""
+    """Encode a plain decimal number: no exponent, no more digits than needed."""
     text = f"{value:.6f}".rstrip("0").rstrip(".")
     return b"0" if text in ("", "-0") else text.encode()
--- a/ingress/upstream/health_check.py
+++ b/ingress/upstream/health_check.py
@@ -1,4 +1,4 @@
-"""Health checks: `PING` on a connection of the pool; an answer says little more than that the process runs."""
+"""Health checks: `PING` on a connection of the pool; an answer shows little more than that the process runs."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from ingress.upstream.response_parser import AttemptResult
 
 PING = b"*1\r\n$4\r\nPING\r\n"
-NO_REQUEST = ""  # the request id of attempts that belong to none
-NO_PARTS = CommandParts(b"", b"", b"")
+NO_REQUEST_ID = ""  # a check belongs to no request
+NO_COMMAND_PARTS = CommandParts(b"", b"", b"")
 
 
 class HealthCheck(Attempt, eq=False):
@@ -26,15 +26,15 @@
 
     @classmethod
     def create(cls, observer: AttemptObserver, endpoint_id: str, started_at: float, deadline: float) -> Self:
-        """Returns a check that `observer` is told the result of."""
-        return cls(observer, NO_REQUEST, 0, endpoint_id, started_at, deadline, NO_PARTS)
+        """Return a check that reports its result to `observer`."""
+        return cls(observer, NO_REQUEST_ID, 0, endpoint_id, started_at, deadline, NO_COMMAND_PARTS)
 
     def encode_command(self, _now: float) -> bytes:
-        """A `PING`, whatever the time."""
+        """Return a `PING`, which carries no deadline."""
         return PING
 
     def interpret(self, reply: Any) -> AttemptResult:
-        """Whether the reply is a `PONG`."""
+        """Return the outcome of the check: OK if the reply is a `PONG`."""
         if reply in (b"PONG", "PONG"):
             return AttemptResult(Outcome.OK)
         if isinstance(reply, hiredis.ReplyError):
@@ -44,7 +44,7 @@
 
 
 class HealthChecker:
-    """Sends the health checks that the gateway asks for, and feeds their results back to it."""
+    """Sends the health checks that the gateway requests, and passes their results to it."""
 
     def __init__(self, pool: ConnectionPool, clock: Clock, feed: Callable[[HealthCheckEnded], None]) -> None:
         self.pool = pool
@@ -52,23 +52,23 @@
         self.feed = feed
 
     def start_check(self, endpoint_id: str, timeout: float) -> None:
-        """Sends one check, and waits `timeout` s for its answer."""
+        """Send one check, and wait for its answer for `timeout` seconds."""
         now = self.clock()
         self.pool.start_attempt(HealthCheck.create(self, endpoint_id, now, now + timeout))
 
     def is_wanted(self, _attempt: Attempt) -> bool:
-        """A check always is."""
+        """Return True: the result of a check is always needed."""
         return True
 
     def attempt_writable(self, attempt: Attempt) -> None:
-        """A check has no body."""
+        """Do nothing: a check has no body."""
 
     def chunk_received(self, attempt: Attempt, _chunk: bytes, _size: int, _is_last: bool) -> None:
-        """No answer to a check is long."""
+        """Cancel the check: no valid answer to a check is a long value."""
         self.pool.cancel_attempt(attempt)
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        """Feeds the result to the gateway, unless the check failed for a lack in this process."""
+        """Pass the result to the gateway, unless the check failed because this process lacked a resource."""
         if not attempt.local_failure:
             latency = self.clock() - attempt.started_at
             self.feed(HealthCheckEnded(attempt.endpoint_id, result.outcome, latency, result.load_report))
--- a/ingress/upstream/pool_settings.py
+++ b/ingress/upstream/pool_settings.py
@@ -9,10 +9,10 @@
     """The limits of a pool.
 
     Attributes:
-        max_connections: over all endpoints, those coming up included.
-        connect_timeout: s.
-        idle_timeout: s after which endpoints close an idle connection.
-        drain_grace: s for which an endpoint that drains still takes new requests.
+        max_connections: The limit over all endpoints, including connections that are being established.
+        connect_timeout: The timeout of a TCP connect, in seconds.
+        idle_timeout: The seconds after which endpoints close an idle connection.
+        drain_grace: The seconds for which a draining endpoint still accepts new requests.
     """
 
     max_connections: int
--- a/ingress/upstream/response_parser.py
+++ b/ingress/upstream/response_parser.py
@@ -1,4 +1,4 @@
-"""What a complete RESP reply of an endpoint means: the outcome, the value and the load report."""
+"""Interprets a complete RESP reply of an endpoint: its outcome, value and load report."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOAD_FIELDS = 16  # of a load report that are read one by one
-LOAD_REPORT_INDEX = 2  # of the load report among the elements of a reply
+MAX_LOAD_REPORT_FIELDS = 16  # what follows them is not split any further
+LOAD_REPORT_INDEX = 2  # the third element of a reply
 NOT_A_NUMBER = float("nan")
 
 
 class AttemptResult(Struct, frozen=True):
-    """How an attempt ended; `value` is set where the endpoint answered with one."""
+    """The result of an attempt; `value` is set if the endpoint answered with one."""
 
     outcome: Outcome
     value: bytes | None = None
@@ -28,9 +28,10 @@
 
 
 def interpret_response(reply: Any) -> AttemptResult:
-    """Reads the reply to a request, as hiredis parsed it.
+    """Interpret the reply to a request, as hiredis parsed it.
 
-    Null and unexpected replies are `MALFORMED`: the request may have run, and its client gets no value of them.
+    Null and unexpected replies are `MALFORMED`: the request may have been executed, but its client gets no value from
+    them.
     """
     if isinstance(reply, list) and reply and isinstance(reply[0], bytes):
         report = reply[LOAD_REPORT_INDEX] if len(reply) > LOAD_REPORT_INDEX else None
@@ -46,17 +47,17 @@
     if kind == "BUSY":
         return AttemptResult(Outcome.REJECTED, None, report)
     if kind != "ERR":
-        log.warning("backend answered %.80r", text)
+        log.warning("endpoint answered with an error of an unknown kind: %.80r", text)
     return AttemptResult(Outcome.ERROR, None, report)
 
 
 def parse_load_report(text: Any) -> dict[str, float]:
-    """Reads a load report such as `inflight=7,util=0.5`; fields that are no number come out as NaN."""
+    """Parse a load report such as `inflight=7,util=0.5`; values that are not numbers become NaN."""
     if text is None:
         return {}
     text = text.decode("ascii", "replace") if isinstance(text, bytes) else str(text)
     report = {}
-    for part in text.split(",", MAX_LOAD_FIELDS):
+    for part in text.split(",", MAX_LOAD_REPORT_FIELDS):
         name, _, number = part.partition("=")
         try:
             value = float(number)
@@ -67,6 +68,6 @@
 
 
 def _trailing_report(text: str) -> str | None:
-    """The load report at the end of an error line, if there is one."""
+    """Return the load report at the end of an error line, if there is one."""
     last_word = text.rpartition(" ")[2]
     return last_word if "=" in last_word else None
--- a/ingress/upstream/shared_counter.py
+++ b/ingress/upstream/shared_counter.py
@@ -1,4 +1,4 @@
-"""The shared counter as configured: its client can be added, moved and removed while the process runs."""
+"""The configured shared counter, whose client can be added, moved and removed while the process runs."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class SharedCounter:
-    """Holds the client of the counter; `client` is None while the configuration names no counter."""
+    """Owns the client of the counter; `client` is None while no counter is configured."""
 
     def __init__(self, clock: Clock, on_reply: Callable[[CounterReply], None]) -> None:
         self.clock = clock
@@ -19,13 +19,13 @@
         self.client: CounterClient | None = None
 
     def prepare(self, address: Address | None, timeout: float) -> CounterClient | None:
-        """Returns a new client where one has to be added, else None; changes nothing."""
+        """Return a new client if one has to be added, otherwise None; change nothing."""
         if address is None or self.client is not None:
             return None
         return CounterClient(address, timeout, self.clock, self.on_reply)
 
     def commit(self, prepared: CounterClient | None, address: Address | None, timeout: float) -> None:
-        """Adds the client that was prepared, or moves or removes the present one."""
+        """Add the prepared client, or move or remove the current one."""
         if address is None:
             self.close()
         elif self.client is None:
@@ -35,7 +35,7 @@
             self.client.change_address(address)
 
     def close(self) -> None:
-        """Removes the client."""
+        """Close and remove the client."""
         client = self.client
         self.client = None
         if client is not None:
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -288,18 +288,18 @@
             link = calls.counter.connection
             assert link is not None
             start = link.pending_calls[0].made_at
-            assert not link.is_silent(start + module.SILENCE_TIMEOUTS)
-            assert link.is_silent(start + module.SILENCE_TIMEOUTS + 0.01)
+            assert not link.is_silent(start + module.SILENCE_TIMEOUT_RATIO)
+            assert link.is_silent(start + module.SILENCE_TIMEOUT_RATIO + 0.01)
             link.data_received(b"ok 1\r\n")  # late, but it speaks
             link.pending_calls[0].made_at = start - 100.0
-            assert not link.is_silent(link.last_received_at + module.SILENCE_TIMEOUTS)
-            assert link.is_silent(link.last_received_at + module.SILENCE_TIMEOUTS + 0.01)
+            assert not link.is_silent(link.last_received_at + module.SILENCE_TIMEOUT_RATIO)
+            assert link.is_silent(link.last_received_at + module.SILENCE_TIMEOUT_RATIO + 0.01)
 
     run(body())
 
 
 def test_a_silent_connection_is_found_by_the_time_out_of_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "SILENCE_TIMEOUTS", 0)
+    monkeypatch.setattr(module, "SILENCE_TIMEOUT_RATIO", 0)
 
     async def body() -> None:
         async with scripted() as peer:
@@ -312,7 +312,7 @@
 
 
 def test_an_idle_connection_is_closed_from_here(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "IDLE_TIMEOUT", 0.05)
+    monkeypatch.setattr(module, "IDLE_TIMEOUT_S", 0.05)
 
     async def body() -> None:
         async with scripted(b"ok 1\r\n") as peer:
