--- a/ingress/discovery/client.py
+++ b/ingress/discovery/client.py
@@ -1,4 +1,4 @@
-"""The client of the discovery service: the list of endpoints, kept up to date by a watch."""
+"""The client of the discovery service, which keeps the endpoint list up to date with a watch."""
 
 from __future__ import annotations
 
@@ -21,41 +21,41 @@
 
 log = logging.getLogger(__name__)
 
-# A change is to be in use within 6 s after discovery has it and can be reached, and within 4 s after a reload. So a
-# call that is lost is given up after these times, and the next one follows after a short pause.
-WATCH_WAIT_MS = 2_400  # of a watch: changes come at once, and a service that has fallen silent is noticed after it
-WATCH_GRACE = 2.0  # s beyond the wait of a watch: how long the call may be queued at the service
-POLL_TIMEOUT = 2.5  # s of a call that does not wait, such as the first one after a reload
-MIN_PAUSE = 0.1  # s on the mean after the first failure, doubled with each further one
-MAX_PAUSE = 0.6  # s on the mean
+# A change must be in use within 6 s after discovery has it and is reachable, and within 4 s after a reload. Therefore a
+# lost call times out after these times, and the next one follows after a short pause.
+WATCH_WAIT_MS = 2_400  # a watch returns at once on a change, or after this wait, which reveals an unresponsive service
+WATCH_GRACE_S = 2.0  # a watch may spend this time in the queue of the service in addition to its wait
+POLL_TIMEOUT_S = 2.5  # timeout of a call without a wait, such as the first one after a reload
+MIN_PAUSE_S = 0.1  # mean pause after the first failure, doubled with each further one
+MAX_PAUSE_S = 0.6  # limit of the mean pause
 MAX_PAUSE_DOUBLINGS = 8
-# While discovery says that it is overloaded, all gateways call in rounds by the clock that they share.
-ROUND = 4.5  # s from one round to the next
-ROUND_SPREAD = 0.5  # s over which the calls of one round are spread
-MAX_WATCH_WAIT_MS = 20_000  # while discovery is overloaded
-WAIT_GROWTH = 2.0  # factor of the wait after an answer that discovery is overloaded
-WAIT_DECAY = 0.9  # factor after any other answer
-JITTER = (0.5, 1.5)  # factors of a pause: lowest and highest
-LOGGED_FAILURES = (0, 10, 100, 1000)  # failures in a row before one that is logged
+# While discovery reports that it is overloaded, all gateways call in rounds by the clock that they share.
+ROUND_INTERVAL_S = 4.5
+ROUND_SPREAD_S = 0.5  # the calls of one round are spread over this time
+MAX_WATCH_WAIT_MS = 20_000  # limit of the wait while discovery is overloaded
+WAIT_GROWTH_FACTOR = 2.0  # the wait grows by this factor after each response that reports overload
+WAIT_DECAY_FACTOR = 0.9  # the wait shrinks by this factor after each successful response
+PAUSE_JITTER_FACTORS = (0.5, 1.5)  # lowest and highest factor of a pause
+LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # a failure is logged after this many consecutive earlier ones
 MAX_STARTED_MS = 1e15
 MAX_WEIGHT = 1e9
-MILLISECONDS = 1000  # in a second
+MS_PER_SECOND = 1000
 
 UpdateHandler = Callable[[EndpointListKind, "EndpointList"], None]
 
 
 def initial_busy_pause(settings: Settings) -> float:
-    """Returns the mean pause (s) after the first answer that discovery is overloaded.
+    """Return the mean pause (in seconds) after the first response that reports overload.
 
-    All gateways together then begin with one call in `MIN_PAUSE`.
+    With it, all gateways together begin with one call per `MIN_PAUSE_S`.
     """
     if not settings.discovery_poll_deadline:
-        return MIN_PAUSE
-    return min(MIN_PAUSE * settings.gateway_count, ROUND)
+        return MIN_PAUSE_S
+    return min(MIN_PAUSE_S * settings.gateway_count, ROUND_INTERVAL_S)
 
 
 class EndpointList(Struct, frozen=True):
-    """One answer of discovery; unless it is complete, it holds only what has changed since the version asked for."""
+    """One response of discovery; unless it is complete, it holds only the changes since the requested version."""
 
     version: int
     is_complete: bool
@@ -64,17 +64,17 @@
 
 
 def read_endpoint_list(body: Any) -> EndpointList:
-    """Reads the JSON body of an answer; entries that can't be used are logged and skipped.
+    """Parse the JSON body of a response; malformed entries are logged and skipped.
 
     Raises:
-        ValueError: The body as a whole can't be used.
+        ValueError: The body has no list of entries or no valid version.
     """
     entries = body.get("servers") if isinstance(body, dict) else None
     if type(entries) is not list:
-        raise ValueError("no list of servers")
+        raise ValueError("the response body has no list under the key 'servers'")
     version = body.get("version")
-    if type(version) is not int:  # a bool is none
-        raise ValueError(f"version: {version!r}")
+    if type(version) is not int:  # a bool is not accepted as a version
+        raise ValueError(f"the version of the endpoint list must be an integer, found {version!r}")
     endpoints: list[Endpoint] = []
     addresses: dict[str, Address] = {}
     for entry in entries:
@@ -82,7 +82,7 @@
             address = _read_endpoint_address(entry)
             endpoint = _read_endpoint(entry)
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            log.warning("list version %s: entry skipped: %s: %s", version, type(error).__name__, error)
+            log.warning("endpoint list %s: skipping a malformed entry: %s: %s", version, type(error).__name__, error)
             continue
         endpoints.append(endpoint)
         addresses[endpoint.id] = address
@@ -94,9 +94,9 @@
     started_ms = entry.get("started_ms") or 0
     weight = entry.get("weight", 1.0)
     if not isinstance(endpoint_id, str) or not endpoint_id:
-        raise ValueError(f"id: {endpoint_id!r}")
+        raise ValueError(f"the endpoint id must be a non-empty string, found {endpoint_id!r}")
     if not 0 <= started_ms < MAX_STARTED_MS or not 0 <= weight < MAX_WEIGHT:
-        raise ValueError("started_ms or weight is out of range")
+        raise ValueError(f"started_ms ({started_ms!r}) or weight ({weight!r}) is out of range")
     return Endpoint(
         id=endpoint_id,
         zone=entry.get("zone", ""),
@@ -104,19 +104,19 @@
         cell=entry.get("cell", 0),
         readiness=Readiness(entry["state"]),
         weight=float(weight),
-        started_at=started_ms / MILLISECONDS,
+        started_at=started_ms / MS_PER_SECOND,
     )
 
 
 def _read_endpoint_address(entry: Any) -> Address:
     host, _, port = entry["addr"].rpartition(":")
     if not host or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"addr: {entry['addr']!r}")
+        raise ValueError(f"addr must be HOST:PORT with a port of 1 to {MAX_PORT}, found {entry['addr']!r}")
     return host, int(port)
 
 
 class DiscoveryClient:
-    """Watches the discovery service; `on_update` gets each list and each set of changes."""
+    """Watches the discovery service, and passes each list and each set of changes to `on_update`."""
 
     def __init__(
         self,
@@ -125,17 +125,17 @@
         version: int | None,
         rng: random.Random,
         clock: Clock,
-        busy_pause: float = MIN_PAUSE,
+        busy_pause: float = MIN_PAUSE_S,
     ) -> None:
-        """Prepares a watch that `run` starts.
+        """Prepare a watch that `run` starts.
 
         Args:
-            address: Where the service answers.
-            on_update: Takes each answer with endpoints into use.
-            version: The version of the list that is known, None where there is none.
-            rng: Draws the jitter of pauses.
-            clock: Unix time, which all gateways share.
-            busy_pause: As from `initial_busy_pause`.
+            address: The address of the service.
+            on_update: The handler that applies each response with endpoints.
+            version: The version of the known list, None if there is none.
+            rng: The random generator for the jitter of pauses.
+            clock: The clock of Unix time, which all gateways share.
+            busy_pause: The result of `initial_busy_pause`.
         """
         self.address = address
         self.on_update = on_update
@@ -143,27 +143,30 @@
         self.clock = clock
         self.busy_pause = busy_pause
         self.poll_task: asyncio.Task[None] | None = None
-        self.wait_ms = float(WATCH_WAIT_MS)  # of the next watch
-        # None asks for a complete list. That is more than discovery can answer when all gateways start at once, so
-        # one that knows a list asks for the changes since.
+        self.wait_ms = float(WATCH_WAIT_MS)  # the wait of the next watch
+        # None requests a complete list. Discovery cannot answer such requests of all gateways when they start at the
+        # same time, so a gateway that already has a list requests only the changes since its version.
         self.version = version
-        self.active_version = version or 0  # of the list in use
-        self.last_reply_at = 0.0  # monotonic time, 0 for never
+        self.active_version = version or 0  # the version of the list in use
+        self.last_reply_at = 0.0  # on the monotonic clock; 0 before the first reply
 
     def set_version(self, version: int) -> None:
-        """Sets the version of a list that was taken into use from elsewhere."""
+        """Set the version of a list that was obtained and applied without this client."""
         self.version = version
         self.active_version = version
 
     def metrics(self) -> dict[str, int]:
-        """Returns the version in use, and milliseconds since discovery last confirmed it, -1 for never."""
+        """Return the version in use and the time since discovery last confirmed it.
+
+        The time is in milliseconds, -1 if discovery never has.
+        """
         age_ms = -1
         if self.last_reply_at:
-            age_ms = round((time.monotonic() - self.last_reply_at) * MILLISECONDS)
+            age_ms = round((time.monotonic() - self.last_reply_at) * MS_PER_SECOND)
         return {"list.version": self.active_version, "list.age_ms": age_ms}
 
     def change_address(self, address: Address) -> None:
-        """Asks the service at another address from now on, first for a complete list."""
+        """Poll the service at another address from now on, first for a complete list."""
         self.address = address
         self.version = None
         self.wait_ms = float(WATCH_WAIT_MS)
@@ -171,7 +174,7 @@
             self.poll_task.cancel()
 
     async def run(self) -> None:
-        """Watches until it is cancelled."""
+        """Watch until cancelled."""
         try:
             while True:
                 self.poll_task = asyncio.create_task(self._watch(HttpConnection(self.address)))
@@ -182,7 +185,7 @@
                 await asyncio.wait({self.poll_task})
 
     async def _watch(self, connection: HttpConnection) -> None:
-        """Calls one service again and again, until it is cancelled."""
+        """Poll one service repeatedly, until cancelled."""
         failures = 0
         try:
             while True:
@@ -190,8 +193,8 @@
                     await self._poll(connection)
                     failures = 0
                 except Exception as error:
-                    # Guards against a service that is silent, gone or answers nonsense, and against a fault in
-                    # `on_update`: the last list stays in use.
+                    # The last list stays in use if the service is unresponsive or unreachable, if it sends malformed
+                    # responses, or if `on_update` fails.
                     self._record_failure(error, failures)
                     await asyncio.sleep(self._pause(error, failures))
                     failures += 1
@@ -199,46 +202,48 @@
             connection.close()
 
     def _record_failure(self, error: Exception, failures: int) -> None:
-        if failures in LOGGED_FAILURES:
-            log.warning("discovery: %s: %s", type(error).__name__, error)
+        if failures in LOGGED_FAILURE_COUNTS:
+            log.warning("discovery: the poll of %s:%s failed: %s: %s", *self.address, type(error).__name__, error)
         if not isinstance(error, OSError | HttpError):  # a TimeoutError is an OSError
             self.version = None
         if isinstance(error, BusyError):
-            self.wait_ms = min(self.wait_ms * WAIT_GROWTH, MAX_WATCH_WAIT_MS)
+            self.wait_ms = min(self.wait_ms * WAIT_GROWTH_FACTOR, MAX_WATCH_WAIT_MS)
 
     def _pause(self, error: Exception, failures: int) -> float:
-        """Returns the time (s) to the next call after so many earlier failures and this one.
+        """Return the time (in seconds) until the next call, given the number of earlier consecutive failures.
 
-        Guards against congestion collapse: discovery works on calls in turn, on abandoned ones too, and where calls
-        come faster than it works it answers none in time. Between two rounds its queue runs empty.
+        Prevents congestion collapse: discovery processes calls in order, including abandoned ones, and if calls arrive
+        faster than it processes them, it answers none in time. Between two rounds its queue drains.
         """
         if not isinstance(error, BusyError):
-            mean: float = min(MAX_PAUSE, MIN_PAUSE * 2 ** min(failures, MAX_PAUSE_DOUBLINGS))
-            return mean * self.rng.uniform(*JITTER)
-        next_round: float = ROUND - self.clock() % ROUND + self.rng.uniform(0.0, ROUND_SPREAD)
+            mean: float = min(MAX_PAUSE_S, MIN_PAUSE_S * 2 ** min(failures, MAX_PAUSE_DOUBLINGS))
+            return mean * self.rng.uniform(*PAUSE_JITTER_FACTORS)
+        next_round: float = ROUND_INTERVAL_S - self.clock() % ROUND_INTERVAL_S + self.rng.uniform(0.0, ROUND_SPREAD_S)
         if failures:
             return next_round
-        return min(next_round, max(error.retry_after, self.busy_pause * self.rng.uniform(*JITTER)))
+        return min(next_round, max(error.retry_after, self.busy_pause * self.rng.uniform(*PAUSE_JITTER_FACTORS)))
 
     async def _poll(self, connection: HttpConnection) -> None:
-        """Makes one call and takes its answer into use."""
+        """Make one call and apply its response."""
         query = ""
-        timeout = POLL_TIMEOUT
+        timeout = POLL_TIMEOUT_S
         if self.version is not None:
             wait_ms = round(self.wait_ms)
             query = f"?after={self.version}&wait_ms={wait_ms}"
-            timeout = wait_ms / MILLISECONDS + WATCH_GRACE
+            timeout = wait_ms / MS_PER_SECOND + WATCH_GRACE_S
         async with asyncio.timeout(timeout):
             body = await connection.get("/api/targets" + query)
-        found = read_endpoint_list(json.loads(body))
-        if not found.is_complete and (self.version is None or found.version < self.version):
-            # Guards against a service that lost its state: its changes don't apply to the list in use.
-            raise ValueError(f"changes of version {found.version} for version {self.version}")
-        self.version = found.version
-        self.wait_ms = max(self.wait_ms * WAIT_DECAY, WATCH_WAIT_MS)
-        self.active_version = found.version
+        endpoint_list = read_endpoint_list(json.loads(body))
+        if not endpoint_list.is_complete and (self.version is None or endpoint_list.version < self.version):
+            # Changes from a service that has lost its state don't apply to the list in use.
+            raise ValueError(
+                f"received changes up to version {endpoint_list.version}, which don't apply to version {self.version}"
+            )
+        self.version = endpoint_list.version
+        self.wait_ms = max(self.wait_ms * WAIT_DECAY_FACTOR, WATCH_WAIT_MS)
+        self.active_version = endpoint_list.version
         self.last_reply_at = time.monotonic()
-        if found.is_complete:
-            self.on_update(EndpointListKind.REPLACE, found)
-        elif found.endpoints:
-            self.on_update(EndpointListKind.UPDATE, found)
+        if endpoint_list.is_complete:
+            self.on_update(EndpointListKind.REPLACE, endpoint_list)
+        elif endpoint_list.endpoints:
+            self.on_update(EndpointListKind.UPDATE, endpoint_list)
--- a/ingress/discovery/http.py
+++ b/ingress/discovery/http.py
@@ -15,19 +15,29 @@
 
 
 class HttpError(IngressError):
-    """An answer that can't be used."""
+    """The response can't be used."""
 
 
 class BusyError(HttpError):
-    """The service says that it is overloaded (429 or 503); `retry_after` (s) is what it asks for, or 0."""
+    """The service reports that it is overloaded (status 429 or 503).
+
+    Attributes:
+        retry_after: The Retry-After time in seconds, 0 if the service gave none.
+    """
 
     def __init__(self, status: int, retry_after: float) -> None:
-        super().__init__(f"status {status}")
+        super().__init__(f"the discovery service is overloaded: HTTP status {status}")
         self.retry_after = retry_after
 
 
 class _ResponseReader:
-    """Collects one response from the callbacks of the parser."""
+    """Collects one response from the callbacks of the parser.
+
+    Attributes:
+        has_length: Whether a header determines where the body ends.
+        has_unexpected_response: Whether a second response follows, which was not requested.
+        retry_after: The Retry-After time in seconds; 0 if the header is absent or not a number.
+    """
 
     def __init__(self) -> None:
         self.parser = httptools.HttpResponseParser(self)
@@ -36,8 +46,8 @@
         self.has_length = False
         self.is_complete = False
         self.can_reuse_connection = False
-        self.has_unexpected_response = False  # another one follows, which nothing asked for
-        self.retry_after = 0.0  # s; 0 where the header is absent or no number
+        self.has_unexpected_response = False
+        self.retry_after = 0.0
 
     def on_message_begin(self) -> None:
         self.has_unexpected_response = self.is_complete
@@ -61,18 +71,18 @@
         if self.has_unexpected_response:
             return
         self.is_complete = True
-        self.can_reuse_connection = self.parser.should_keep_alive()  # known only here
+        self.can_reuse_connection = self.parser.should_keep_alive()  # final only after the complete message
 
 
 class HttpConnection:
-    """A connection that opens when it is needed and stays open between calls."""
+    """A connection that is opened on demand and stays open between calls."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.address = address
         self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def get(self, path: str) -> bytes:
-        """Returns the body of a response with status 200.
+        """Return the body of a response with status 200.
 
         Raises:
             BusyError: The service is overloaded.
@@ -83,7 +93,7 @@
             try:
                 return await self._get(path, self.streams)
             except ConnectionError:
-                self.close()  # the service closed it since the last call
+                self.close()  # the service has closed it since the last call
         self.streams = await asyncio.open_connection(*self.address)
         return await self._get(path, self.streams)
 
@@ -95,7 +105,7 @@
             writer.write(f"GET {path} HTTP/1.1\r\nHost: {host}\r\nAccept: application/json\r\n\r\n".encode())
             await self._read_response(reader, response)
         except httptools.HttpParserError as error:
-            raise HttpError(f"{type(error).__name__}: {error}") from error
+            raise HttpError(f"GET {path}: malformed HTTP response: {type(error).__name__}: {error}") from error
         finally:
             if response.has_unexpected_response or not response.can_reuse_connection:
                 self.close()
@@ -103,7 +113,7 @@
         if status in BUSY_STATUSES:
             raise BusyError(status, response.retry_after)
         if status != STATUS_OK:
-            raise HttpError(f"status {status}")
+            raise HttpError(f"GET {path}: expected HTTP status {STATUS_OK}, received {status}")
         return bytes(response.body)
 
     async def _read_response(self, reader: asyncio.StreamReader, response: _ResponseReader) -> None:
@@ -111,14 +121,14 @@
             data = await reader.read(READ_BYTES)
             if not data:
                 if response.has_headers and not response.has_length:
-                    return  # the end of the connection is the end of the body
-                raise ConnectionResetError("the agent hung up")
+                    return  # without a length the body ends with the connection
+                raise ConnectionResetError("the discovery service closed the connection before the end of its response")
             response.parser.feed_data(data)
             if len(response.body) > MAX_BODY_BYTES:
-                raise HttpError("endless answer")
+                raise HttpError(f"the response body exceeds {MAX_BODY_BYTES} bytes")
 
     def close(self) -> None:
-        """Closes the connection, if it is open."""
+        """Close the connection if it is open."""
         if self.streams is not None:
             self.streams[1].close()
             self.streams = None
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -135,7 +135,7 @@
         assert agent.asked[:2] == ["/api/targets", WATCH % 41] and agent.asked[-1] == WATCH % 42
         assert "/api/targets" in agent.asked[2:]
         assert [found.version for _, found in told] == [41, 42]
-        assert agent.at[-1] - agent.at[0] >= module.MIN_PAUSE / 2  # gently
+        assert agent.at[-1] - agent.at[0] >= module.MIN_PAUSE_S / 2  # gently
 
     run(body())
 
@@ -172,42 +172,42 @@
     )
 
 
-def asker(rng: random.Random, busy: float = module.MIN_PAUSE, now: float = 0.0) -> DiscoveryClient:
+def asker(rng: random.Random, busy: float = module.MIN_PAUSE_S, now: float = 0.0) -> DiscoveryClient:
     return DiscoveryClient(HERE, lambda kind, found: None, 41, rng, lambda: now, busy)
 
 
-@pytest.mark.parametrize(("gateways", "first"), [(3, 0.3), (40, 4.0), (1000, module.ROUND)])
+@pytest.mark.parametrize(("gateways", "first"), [(3, 0.3), (40, 4.0), (1000, module.ROUND_INTERVAL_S)])
 def test_pauses_after_busy_answers_are_shared_by_all_gateways(gateways: int, first: float) -> None:
     assert initial_busy_pause(settings(gateways, 10.0)) == pytest.approx(first)
     busy, broken = BusyError(503, 0.0), HttpError("status 500")
     for now in (0.0, 1.7, 4.4, 1_700_000_003.2):
         discovery = asker(random.Random(1), first, now)
-        turn = module.ROUND - now % module.ROUND
+        turn = module.ROUND_INTERVAL_S - now % module.ROUND_INTERVAL_S
         assert all(
-            min(turn, first / 2) <= discovery._pause(busy, 0) <= min(turn + module.ROUND_SPREAD, first * 1.5)
+            min(turn, first / 2) <= discovery._pause(busy, 0) <= min(turn + module.ROUND_SPREAD_S, first * 1.5)
             for _ in range(50)
         )
         for failures in (1, 20, 1000):
-            assert all(turn <= discovery._pause(busy, failures) <= turn + module.ROUND_SPREAD for _ in range(50))
-        assert all(discovery._pause(broken, 20) <= module.MAX_PAUSE * 1.5 for _ in range(50))
+            assert all(turn <= discovery._pause(busy, failures) <= turn + module.ROUND_SPREAD_S for _ in range(50))
+        assert all(discovery._pause(broken, 20) <= module.MAX_PAUSE_S * 1.5 for _ in range(50))
         # A Retry-After is kept to as far as the time allows in which a change counts as told.
         assert discovery._pause(BusyError(503, 0.9), 0) >= min(0.9, turn)
-        assert turn <= discovery._pause(BusyError(503, 45.0), 0) <= turn + module.ROUND_SPREAD
+        assert turn <= discovery._pause(BusyError(503, 45.0), 0) <= turn + module.ROUND_SPREAD_S
 
 
 def test_a_list_that_nobody_has_to_ask_for_keeps_short_pauses() -> None:
-    assert initial_busy_pause(settings(40, 0.0)) == module.MIN_PAUSE
+    assert initial_busy_pause(settings(40, 0.0)) == module.MIN_PAUSE_S
 
 
 def test_the_longest_time_from_reachable_to_told_is_within_what_the_terms_allow() -> None:
     """A call that went out just before is lost, given up, and followed by the longest pause; the next is answered."""
     answer, draw = 0.4, 1.5
-    lost = max(module.WATCH_WAIT_MS / 1000 + module.WATCH_GRACE, module.POLL_TIMEOUT)
-    assert lost + draw * module.MAX_PAUSE + answer <= TOLD_WITHIN
-    assert module.ROUND + module.ROUND_SPREAD + answer <= TOLD_WITHIN
-    assert module.POLL_TIMEOUT + draw * module.MIN_PAUSE + answer <= RELOADED_WITHIN
+    lost = max(module.WATCH_WAIT_MS / 1000 + module.WATCH_GRACE_S, module.POLL_TIMEOUT_S)
+    assert lost + draw * module.MAX_PAUSE_S + answer <= TOLD_WITHIN
+    assert module.ROUND_INTERVAL_S + module.ROUND_SPREAD_S + answer <= TOLD_WITHIN
+    assert module.POLL_TIMEOUT_S + draw * module.MIN_PAUSE_S + answer <= RELOADED_WITHIN
     pauses = [asker(random.Random(n))._pause(TimeoutError(), failures) for n in range(50) for failures in range(20)]
-    assert max(pauses) <= draw * module.MAX_PAUSE
+    assert max(pauses) <= draw * module.MAX_PAUSE_S
 
 
 Pause = Callable[[DiscoveryClient, int, float], float]
@@ -220,7 +220,7 @@
 
 def each_by_itself(caller: DiscoveryClient, failures: int, now: float) -> float:
     """Anything between nothing and the longest time that the terms allow."""
-    return caller.rng.uniform(0.0, module.ROUND)
+    return caller.rng.uniform(0.0, module.ROUND_INTERVAL_S)
 
 
 def reached(pause: Pause, ingresses: int = 40, room: float = 4.0, seconds: float = 120.0, began: float = 0.0) -> int:
@@ -304,14 +304,14 @@
     run(body())
     assert len({pauses[0] for pauses in slept}) == 20
     for pauses in slept:
-        assert module.MIN_PAUSE / 2 <= pauses[0] <= module.MIN_PAUSE * 1.5
-        assert module.MAX_PAUSE / 2 <= pauses[-1] <= module.MAX_PAUSE * 1.5
+        assert module.MIN_PAUSE_S / 2 <= pauses[0] <= module.MIN_PAUSE_S * 1.5
+        assert module.MAX_PAUSE_S / 2 <= pauses[-1] <= module.MAX_PAUSE_S * 1.5
 
 
 def test_a_silent_agent_is_not_waited_for_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "POLL_TIMEOUT", 0.05)
+    monkeypatch.setattr(module, "POLL_TIMEOUT_S", 0.05)
     monkeypatch.setattr(module, "WATCH_WAIT_MS", 10)
-    monkeypatch.setattr(module, "WATCH_GRACE", 0.05)
+    monkeypatch.setattr(module, "WATCH_GRACE_S", 0.05)
 
     async def body() -> None:
         agent = Agent(None, listing(1, True, entry(HERE)), None, listing(2, True, entry(HERE)))
@@ -444,7 +444,7 @@
         async with agent.peer:
             task = asyncio.create_task(
                 DiscoveryClient(
-                    agent.peer.address, hear, None, random.Random(1), time.time, module.MIN_PAUSE * 40
+                    agent.peer.address, hear, None, random.Random(1), time.time, module.MIN_PAUSE_S * 40
                 ).run()
             )
             await until(lambda: len(told) >= 2)
@@ -516,7 +516,7 @@
             connection = HttpConnection(agent.peer.address)
             discovery.wait_ms = 20_000.0
             await discovery._poll(connection)
-            assert discovery.wait_ms == 20_000 * module.WAIT_DECAY
+            assert discovery.wait_ms == 20_000 * module.WAIT_DECAY_FACTOR
             connection.close()
 
     run(body())
