--- a/ingress/runtime/__init__.py
+++ b/ingress/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""What every part of the process uses: clock, log, limits of memory and descriptors, TLS, metrics."""
+"""Services that every part of the process uses: clock, log, memory and descriptor limits, TLS, metrics."""
--- a/ingress/runtime/clock.py
+++ b/ingress/runtime/clock.py
@@ -9,10 +9,10 @@
 
 
 def unix_clock() -> Clock:
-    """Returns a clock of Unix time in seconds.
+    """Return a clock of Unix time in seconds.
 
-    Guards against a system clock that is set while the process runs. Unix time is needed because the start times of
-    endpoints and the names of counters must mean the same in every gateway.
+    Later changes of the system clock do not affect it. It counts Unix time because the start times of endpoints and the
+    names of counters must mean the same in every gateway.
     """
     monotonic = time.monotonic
     offset = time.time() - monotonic()
--- a/ingress/runtime/files.py
+++ b/ingress/runtime/files.py
@@ -1,4 +1,4 @@
-"""Reads a configuration file that others may write, replace or remove at the same time."""
+"""Reads a configuration file that other programs may write, replace or remove at the same time."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from ingress.errors import IngressError
 
-MAX_BYTES = 8 << 20  # of a file
-MAX_ATTEMPTS = 3  # while the file is replaced under the reader
+MAX_BYTES = 8 << 20  # limit of the size of a file
+MAX_ATTEMPTS = 3  # the file may be replaced while it is read
 
 
 class UnreadableFileError(IngressError):
-    """The file can't be used; the text says why."""
+    """The file can't be used; the text gives the reason."""
 
 
 def read_text(path: str) -> str:
-    """Returns the complete text of one version of the file: the one that had the name once it was read.
+    """Return the complete text of one version of the file: the one at this path at the end of reading.
 
     Raises:
         UnreadableFileError: The file can't be opened, is too large, keeps changing, or is not UTF-8.
@@ -30,7 +30,7 @@
         if is_current:
             break
     else:
-        raise UnreadableFileError("it changed each time while it was read")
+        raise UnreadableFileError(f"the file changed each time while it was read, in {MAX_ATTEMPTS} attempts")
     try:
         return data.decode("utf-8")
     except UnicodeDecodeError as error:
@@ -38,8 +38,8 @@
 
 
 def _read(path: str) -> tuple[bytes, bool]:
-    """Returns the bytes, and whether the name still leads to the file that was read, unchanged."""
-    # Without O_NONBLOCK a fifo would block the reader until something writes to it.
+    """Return the bytes, and whether the path still refers to the file that was read, and that file is unchanged."""
+    # Without O_NONBLOCK, opening a FIFO would block until another process opens it for writing.
     descriptor = os.open(path, os.O_RDONLY | os.O_NONBLOCK | os.O_CLOEXEC)
     try:
         before = os.fstat(descriptor)
@@ -50,11 +50,11 @@
     finally:
         os.close(descriptor)
     if len(data) > MAX_BYTES:
-        raise UnreadableFileError(f"more than {MAX_BYTES} bytes")
+        raise UnreadableFileError(f"the file has more than {MAX_BYTES} bytes")
     try:
         named = Path(path).stat()
     except FileNotFoundError:
-        return data, False  # removed just now: the next attempt reports it
+        return data, False  # removed while it was read; the next attempt reports that
     is_unchanged = (before.st_size, before.st_mtime_ns) == (after.st_size, after.st_mtime_ns)
     return data, is_unchanged and (named.st_dev, named.st_ino) == (before.st_dev, before.st_ino)
 
--- a/ingress/runtime/logs.py
+++ b/ingress/runtime/logs.py
@@ -1,4 +1,4 @@
-"""The log on standard error: text lines or JSON lines, with lines for each request if asked for (`EDGE_LOG`)."""
+"""The log on standard error, as text or JSON lines, with lines for each request if enabled (`EDGE_LOG`)."""
 
 from __future__ import annotations
 
@@ -6,20 +6,21 @@
 import logging
 import sys
 
-KINDS = ("", "json", "requests")  # values of EDGE_LOG
-REQUESTS = logging.getLogger("ingress.requests")  # its records carry `fields`
+KINDS = ("", "json", "requests")  # the valid values of EDGE_LOG
+TIME_DIGITS = 6  # decimal places of the time of a record: microseconds
+REQUESTS = logging.getLogger("ingress.requests")  # its records have an attribute `fields`
 REQUESTS.setLevel(logging.WARNING)
-REQUEST_LOGGERS = frozenset({REQUESTS.name, "mulleinhall.requests"})  # in logs of this build and of earlier ones
-INGRESS_LOG = logging.getLogger("ingress.ingress")  # the life cycle of a process: log readers know this name
+REQUEST_LOGGERS = frozenset({REQUESTS.name, "mulleinhall.requests"})  # the names in logs of this and earlier builds
+INGRESS_LOG = logging.getLogger("ingress.ingress")  # logs the life cycle of a process; log readers match this name
 
 
 class JsonLines(logging.Formatter):
-    """Formats a record as one JSON object: `time` (Unix, s), `level`, `logger`, `event` and the record's fields."""
+    """Formats a record as a JSON object: `time` (Unix time, seconds), `level`, `logger`, `event`, and its `fields`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the line of a record."""
+        """Return the JSON line of a record."""
         line = {
-            "time": round(record.created, 6),
+            "time": round(record.created, TIME_DIGITS),
             "level": record.levelname.lower(),
             "logger": record.name,
             "event": record.getMessage(),
@@ -31,13 +32,13 @@
 
 
 def configure(kind: str) -> None:
-    """Configures the log of the process; `kind` is the value of EDGE_LOG.
+    """Configure the log of the process; `kind` is the value of EDGE_LOG.
 
     Raises:
-        ValueError: There is no such kind.
+        ValueError: The value of EDGE_LOG is not one of `KINDS`.
     """
     if kind not in KINDS:
-        raise ValueError(f"EDGE_LOG: {kind!r} is none of {', '.join(KINDS[1:])}")
+        raise ValueError(f"EDGE_LOG: {kind!r} is not one of {', '.join(KINDS[1:])}")
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
     if kind:
         logging.getLogger().handlers[0].setFormatter(JsonLines())
--- a/ingress/runtime/memory_monitor.py
+++ b/ingress/runtime/memory_monitor.py
@@ -1,4 +1,4 @@
-"""Logs while a process holds more memory than its lowered limit allows."""
+"""Logs while a process uses more memory than a lowered limit allows."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from ingress.runtime.logs import INGRESS_LOG
 from ingress.runtime.memory_budget import MemoryBudget
 
-CHECK_INTERVAL = 0.2  # s
+CHECK_INTERVAL = 0.2  # in seconds
 
 
 class MemoryMonitor:
-    """Says when new requests are rejected because of a lowered limit, and when they are accepted again."""
+    """Logs when new requests are rejected because of a lowered limit, and when they are accepted again."""
 
     def __init__(self, name: str, budget: MemoryBudget) -> None:
         self.name = name
@@ -19,15 +19,15 @@
         self.loop = asyncio.get_running_loop()
 
     def check(self, was_over_limit: bool = False) -> None:
-        """Logs a change of the state, and checks again after a while as long as the limit is exceeded."""
+        """Log a change of the state, and check again later as long as the limit is exceeded."""
         over_limit = self.budget.used() > self.budget.capacity()
         if over_limit is not was_over_limit:
             INGRESS_LOG.info(
-                "%s holds %d bytes, %d are allowed: new requests are %s",
+                "%s uses %d bytes of memory, its limit is %d: new requests are %s",
                 self.name,
                 self.budget.used(),
                 self.budget.capacity(),
-                "refused" if over_limit else "taken again",
+                "rejected" if over_limit else "accepted again",
             )
         if over_limit:
             self.loop.call_later(CHECK_INTERVAL, self.check, True)
--- a/ingress/runtime/metrics.py
+++ b/ingress/runtime/metrics.py
@@ -1,11 +1,11 @@
-"""Metrics of a process: how its requests ended, its attempts, and the lines in which they are shown."""
+"""Metrics of a process: the results of its requests, its attempts, and the lines that report them."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Mapping
 from enum import Enum
 
-# Prefixes of metrics that hold a present value; all others count from the start of the process.
+# Prefixes of metrics that are gauges; all others are counters since the start of the process.
 GAUGES = ("health.", "list.", "connections.", "loop.", "client_addresses", "tls.", "checkpoint.on", "checkpoint.bytes")
 
 
@@ -18,37 +18,44 @@
 
 
 class Metrics:
-    """Counts from the start of the process."""
+    """Counts since the start of the process.
+
+    Attributes:
+        results: The number of ended requests by request class and result.
+        rejections_by_reason: The number of rejections that the gateway decided, by reason.
+        requests_in_flight: The number of requests in flight.
+        attempts_sent: The number of attempts that were sent.
+    """
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.results: dict[tuple[str, RequestResult], int] = {}  # by request class
-        self.rejections_by_reason: dict[str, int] = {}  # of the rejections that the gateway decided
+        self.results: dict[tuple[str, RequestResult], int] = {}
+        self.rejections_by_reason: dict[str, int] = {}
         self.requests_in_flight = 0
         self.attempts_sent = 0
         self.add_classes(classes)
 
     def add_classes(self, classes: Iterable[str]) -> None:
-        """Adds request classes of a new configuration; those that it drops keep their counts."""
+        """Add the request classes of a new configuration; classes that it removes keep their counts."""
         for request_class in classes:
             for result in RequestResult:
                 self.results.setdefault((request_class, result), 0)
 
     def record_rejection(self, reason: str) -> None:
-        """Counts a request that the gateway rejected or failed; one without a reason is not counted."""
+        """Count a request that the gateway rejected or failed; one without a reason is not counted."""
         if reason:
             self.rejections_by_reason[reason] = self.rejections_by_reason.get(reason, 0) + 1
 
     def record_received(self) -> None:
-        """Counts a request as in flight."""
+        """Count a request as in flight."""
         self.requests_in_flight += 1
 
     def record_result(self, request_class: str, result: RequestResult) -> None:
-        """Counts the end of a request."""
+        """Count the end of a request."""
         self.requests_in_flight -= 1
         self.results[request_class, result] += 1
 
     def lines(self, listed_endpoints: int, avoided_endpoints: int, others: Mapping[str, int]) -> list[str]:
-        """Returns the lines of `show-stat`, without the last; `others` are metrics that other parts hold."""
+        """Return the lines of `show-stat`, without the last; `others` are metrics from other components."""
         results = [f"app.results.{name}.{result.value}:{count}|c" for (name, result), count in self.results.items()]
         rejections = [
             f"app.turned_down.{reason}:{count}|c" for reason, count in sorted(self.rejections_by_reason.items())
--- a/ingress/runtime/tls.py
+++ b/ingress/runtime/tls.py
@@ -1,7 +1,7 @@
-"""TLS contexts of both sides, built from the files that the configuration names; imported only if it names any.
+"""TLS contexts of both sides, built from the configured files; imported only if the configuration has a TLS section.
 
-A context is built completely or not at all: a certificate that can't be read, does not belong to its key, or is not
-valid now is a fault of the configuration. Open connections keep the context with which they were made.
+A context is built completely or not at all: a certificate that can't be read, does not match its key, or is not valid
+now is a configuration error. Open connections keep the context they were created with.
 """
 
 from __future__ import annotations
@@ -22,7 +22,12 @@
 
 
 class TlsError(IngressError):
-    """A fault in the TLS settings; `key` is the key of the configuration at which it lies."""
+    """An error in the TLS settings.
+
+    Attributes:
+        key: The configuration key of the invalid setting.
+        text: The description of the error, without the key.
+    """
 
     def __init__(self, key: str, text: str) -> None:
         super().__init__(f"{key}: {text}")
@@ -31,13 +36,13 @@
 
 
 class Tls(Struct, frozen=True):
-    """One side: that of the clients or that of the endpoints.
+    """The TLS settings of one side: the clients or the endpoints.
 
     Attributes:
-        context: New connections are made with it.
-        expires_at: Unix time (s) at which the first of its certificates expires, 0 for none.
-        fingerprint: Digest of all files.
-        peer_name: The name in the certificates of the peers; empty stands for their address.
+        context: The context of new connections.
+        expires_at: The Unix time in seconds at which the first of the certificates expires, 0 if there is none.
+        fingerprint: The digest of all files.
+        peer_name: The expected name in the certificates of the peers; empty stands for their address.
     """
 
     context: ssl.SSLContext
@@ -47,12 +52,12 @@
 
 
 def read_tls(spec: Mapping[str, Any], key: str, server: bool) -> Tls:
-    """Reads the files of one side.
+    """Read the files of one side.
 
     Args:
         spec: The section of the configuration.
-        key: Its key.
-        server: True for the side of the clients.
+        key: The key of the section.
+        server: Whether this is the side of the clients.
 
     Raises:
         TlsError: A file can't be used.
@@ -81,7 +86,7 @@
 
 
 def _load_authority(context: ssl.SSLContext, text: str, key: str) -> None:
-    """Has the peers show a certificate of this authority."""
+    """Require the peers to present a certificate of this authority."""
     try:
         context.load_verify_locations(cadata=text)
     except ssl.SSLError as error:
@@ -101,7 +106,7 @@
 
 
 def _check_validity(text: str, key: str) -> float:
-    """Returns when the first certificate of a chain expires (Unix time, s).
+    """Return the Unix time in seconds at which the first certificate of a chain expires.
 
     Raises:
         TlsError: A certificate can't be read, or is not valid now.
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -442,9 +442,9 @@
             assert await caller.ask(PING) == b"PONG"
             [client] = served.clients.connections
             options = {
-                socket.TCP_USER_TIMEOUT: int(sockets.UNACKNOWLEDGED_TIMEOUT * 1000),
-                socket.TCP_KEEPIDLE: sockets.KEEPALIVE_IDLE,
-                socket.TCP_KEEPINTVL: sockets.KEEPALIVE_INTERVAL,
+                socket.TCP_USER_TIMEOUT: int(sockets.UNACKNOWLEDGED_TIMEOUT_S * 1000),
+                socket.TCP_KEEPIDLE: sockets.KEEPALIVE_IDLE_S,
+                socket.TCP_KEEPINTVL: sockets.KEEPALIVE_INTERVAL_S,
                 socket.TCP_KEEPCNT: sockets.KEEPALIVE_PROBES,
             }
             assert {key: client.socket.getsockopt(socket.IPPROTO_TCP, key) for key in options} == options
@@ -454,7 +454,7 @@
 
 
 def test_a_client_that_vanished_is_let_go_when_it_acknowledges_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sockets, "UNACKNOWLEDGED_TIMEOUT", 0.3)
+    monkeypatch.setattr(sockets, "UNACKNOWLEDGED_TIMEOUT_S", 0.3)
 
     async def body() -> None:
         go = asyncio.Event()
