--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -1,4 +1,4 @@
-"""The pool: every outcome of an attempt, re-use of connections, drains and bounds."""
+"""The connection pool: the outcomes of attempts, reuse of connections, drains and limits."""
 
 from __future__ import annotations
 
@@ -22,24 +22,32 @@
 PARTS = CommandParts(b"*4\r\n$8\r\nAPI.READ\r\n$2\r\nc7\r\n$2\r\nr1\r\n", b"c=read,d=2000,t=basic,x=9", b"\r\n")
 
 
-class Pool:
-    """A pool under test, and the outcomes it has told."""
+class PoolUnderTest:
+    """A pool under test that records the results of its attempts."""
 
-    def __init__(self, *addresses: Address, most: int = 8, timeout: float = 0.25, idle: float = 15.0) -> None:
-        self.ends: list[tuple[int, Outcome, bytes | None]] = []
+    def __init__(
+        self, *addresses: Address, max_connections: int = 8, timeout: float = 0.25, idle_timeout: float = 15.0
+    ) -> None:
+        self.results: list[tuple[int, Outcome, bytes | None]] = []
         self.chunks: list[tuple[bytes, int, bool]] = []
-        self.skipped, clock, self.count = 0.0, unix_clock(), 0
-        self.wanted = True  # whether anybody waits for the answers
+        self.clock_offset = 0.0
+        clock = unix_clock()
+        self.attempt_count = 0
+        self.response_wanted = True
         self.pool = ConnectionPool(
-            PoolSettings(most, timeout, idle, 1.0), lambda: clock() + self.skipped, Metrics([]), MemoryBudget(1 << 28)
+            PoolSettings(max_connections, timeout, idle_timeout, 1.0),
+            lambda: clock() + self.clock_offset,
+            Metrics([]),
+            MemoryBudget(1 << 28),
         )
-        self.tell(*((Endpoint(f"s{n}"), address) for n, address in enumerate(addresses)))
+        self.update_endpoints(*((Endpoint(f"s{n}"), address) for n, address in enumerate(addresses)))
 
-    def tell(self, *rows: tuple[Endpoint, Address], full: bool = True) -> None:
-        self.pool.update_endpoints(full, tuple(info for info, _ in rows), {info.id: a for info, a in rows})
+    def update_endpoints(self, *rows: tuple[Endpoint, Address], full: bool = True) -> None:
+        addresses = {endpoint.id: address for endpoint, address in rows}
+        self.pool.update_endpoints(full, tuple(endpoint for endpoint, _ in rows), addresses)
 
     def is_wanted(self, attempt: Attempt) -> bool:
-        return self.wanted
+        return self.response_wanted
 
     def attempt_writable(self, attempt: Attempt) -> None:
         pass
@@ -48,25 +56,26 @@
         self.chunks.append((chunk, size, is_last))
 
     def attempt_ended(self, attempt: Attempt, result: AttemptResult) -> None:
-        self.ends.append((attempt.number, result.outcome, result.value))
+        self.results.append((attempt.number, result.outcome, result.value))
 
     def send(self, name: str = "s0", wait: float = 5.0, parts: CommandParts = PARTS) -> Attempt:
         now = self.pool.clock()
-        attempt = Attempt(self, "r", self.count, name, now, now + wait, parts)
-        self.count += 1
+        attempt = Attempt(self, "r", self.attempt_count, name, now, now + wait, parts)
+        self.attempt_count += 1
         self.pool.start_attempt(attempt)
         return attempt
 
-    async def end(self, count: int = 1) -> Any:
-        await until(lambda: len(self.ends) >= count)
-        return self.ends[count - 1][1:]
+    async def result(self, count: int = 1) -> Any:
+        """Wait for so many results, and return the outcome and value of the last of these."""
+        await until(lambda: len(self.results) >= count)
+        return self.results[count - 1][1:]
 
 
 BINARY = bytes(range(256)) * 256
 
 
 @pytest.mark.parametrize(
-    ("answer", "outcome", "found"),
+    ("answer", "outcome", "expected_value"),
     [
         (value(b"hello"), Outcome.OK, b"hello"),
         (value(b""), Outcome.OK, b""),
@@ -83,12 +92,12 @@
         (b"hello\r\n", Outcome.MALFORMED, None),
     ],
 )
-def test_what_an_answer_means(answer: bytes, outcome: Outcome, found: bytes | None) -> None:
+def test_outcome_of_each_kind_of_reply(answer: bytes, outcome: Outcome, expected_value: bytes | None) -> None:
     async def body() -> None:
         async with backend(answer) as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             pool.send()
-            assert await pool.end() == (outcome, found)
+            assert await pool.result() == (outcome, expected_value)
 
     run(body())
 
@@ -97,8 +106,8 @@
     "answer", [b"*100000\r\n", b"~100000\r\n", b"*2\r\n*100000\r\n", b"*2\r\n$8\r\n*1\r\n*9\r\n\r\n>100000\r\n"]
 )
 @pytest.mark.parametrize("cut", [0, 1, 6])
-def test_an_answer_that_claims_too_many_elements_fails_at_once(answer: bytes, cut: int) -> None:
-    """The parser would make room for all of them; the attempt would hang until it is overdue."""
+def test_reply_announcing_too_many_elements_fails_immediately(answer: bytes, cut: int) -> None:
+    """Otherwise the parser allocates all announced elements, and the attempt waits for them until it times out."""
 
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -110,20 +119,20 @@
             await reader.read()
 
         async with Peer(script) as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             pool.send()
-            assert await pool.end() == (Outcome.MALFORMED, None)
+            assert await pool.result() == (Outcome.MALFORMED, None)
 
     run(body())
 
 
-def test_the_time_is_rewritten_and_all_else_goes_on_unchanged() -> None:
+def test_only_the_timeout_field_of_a_command_is_rewritten() -> None:
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             data = b"$%d\r\n%b\r\n" % (len(BINARY), BINARY)
             pool.send(wait=1.0, parts=CommandParts(PARTS.before.replace(b"*4", b"*5"), PARTS.fields, b"\r\n" + data))
-            assert await pool.end() == (Outcome.OK, b"r1")
+            assert await pool.result() == (Outcome.OK, b"r1")
             [words] = peer.commands
             names = words[3].split(b",")
             assert words[:3] == [b"API.READ", b"c7", b"r1"] and words[4] == BINARY
@@ -133,48 +142,48 @@
     run(body())
 
 
-@pytest.mark.parametrize("partly", [b"", b"*3\r\n$5\r\nhel"])
-def test_a_connection_that_ends_under_an_attempt_is_a_reset(partly: bytes) -> None:
+@pytest.mark.parametrize("partial_reply", [b"", b"*3\r\n$5\r\nhel"])
+def test_connection_closed_during_an_attempt_is_a_reset(partial_reply: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        writer.write(partly)
+        writer.write(partial_reply)
 
     async def body() -> None:
         async with Peer(script) as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             pool.send()
-            assert await pool.end() == (Outcome.RESET, None)
+            assert await pool.result() == (Outcome.RESET, None)
             assert pool.pool.connection_count == 0
 
     run(body())
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_refused_connection_is_a_failed_connect() -> None:
     async def body() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = server.getsockname()
-        pool = Pool(address)
+        pool = PoolUnderTest(address)
         pool.send()
-        assert await pool.end() == (Outcome.CONNECT_FAILED, None)
+        assert await pool.result() == (Outcome.CONNECT_FAILED, None)
         pool.send("unknown")
-        assert await pool.end(2) == (Outcome.CONNECT_FAILED, None)
+        assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
 
     run(body())
 
 
 @pytest.mark.parametrize("wait", [5.0, 0.05])
-def test_a_connection_that_never_comes_up_never_ran(wait: float) -> None:
+def test_connect_timeout_is_a_failed_connect(wait: float) -> None:
     async def body() -> None:
         with socket.socket() as server:
             server.bind(("127.0.0.1", 0))
             server.listen(0)
-            crowd = [socket.socket() for _ in range(4)]  # the queue is full: further ones hear nothing
+            crowd = [socket.socket() for _ in range(4)]  # the backlog is full: further connects get no answer
             for sock in crowd:
                 sock.setblocking(False)
                 sock.connect_ex(server.getsockname())
-            pool = Pool(server.getsockname(), timeout=0.1)
+            pool = PoolUnderTest(server.getsockname(), timeout=0.1)
             pool.send(wait=wait)
-            assert await pool.end() == (Outcome.CONNECT_FAILED, None)
+            assert await pool.result() == (Outcome.CONNECT_FAILED, None)
             await until(lambda: pool.pool.connection_count == 0)
             for sock in crowd:
                 sock.close()
@@ -183,18 +192,18 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_giving_up_ends_the_connection_before_the_outcome_is_told(cancel: bool) -> None:
-    """Two attempts of a request must not be out together, not even for a turn of the loop."""
+def test_abandoned_attempt_closes_its_connection_before_reporting_the_outcome(cancel: bool) -> None:
+    """Two attempts of a request must never be in flight together, not even for one iteration of the event loop."""
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
-            pool = Pool(server.getsockname())
+            pool = PoolUnderTest(server.getsockname())
             seen: list[bytes] = []
 
             def ended(attempt: Attempt, result: AttemptResult) -> None:
-                pool.ends.append((attempt.number, result.outcome, result.value))
+                pool.results.append((attempt.number, result.outcome, result.value))
                 seen.append(peer.recv(100))
 
             pool.attempt_ended = ended  # type: ignore[method-assign]
@@ -204,49 +213,49 @@
             assert (await loop.sock_recv(peer, 4096)).endswith(b"\r\n")
             if cancel:
                 pool.pool.cancel_attempt(attempt)
-            assert (await pool.end())[0] is (Outcome.CANCELLED if cancel else Outcome.TIMEOUT)
+            assert (await pool.result())[0] is (Outcome.CANCELLED if cancel else Outcome.TIMEOUT)
             assert seen == [b""]
             peer.close()
 
     run(body())
 
 
-def test_the_connection_used_last_is_used_again() -> None:
+def test_most_recently_used_connection_is_reused() -> None:
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             pool.send()
             pool.send()
-            await pool.end(2)
+            await pool.result(2)
             latest = pool.pool.endpoints["s0"].idle_connections[-1]
-            await until(lambda: pool.pool.clock() > latest.reusable_at)  # both have been quiet for long enough
+            await until(lambda: pool.pool.clock() > latest.reusable_at)  # the reuse delay of both has passed
             attempt = pool.send()
             assert attempt.connection is latest
-            await pool.end(3)
+            await pool.result(3)
             assert peer.connections == 2 and pool.pool.connection_count == 2
 
     run(body())
 
 
-def test_a_connection_is_not_used_again_before_it_has_been_quiet() -> None:
-    """And no other is opened meanwhile: a handshake costs more than the rest."""
+def test_connection_is_not_reused_before_the_reuse_delay() -> None:
+    """No other connection is opened meanwhile, because a handshake costs more than the delay."""
 
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             pool.send()
-            await pool.end()
+            await pool.result()
             [connection] = pool.pool.endpoints["s0"].idle_connections
             assert pool.pool.clock() < connection.reusable_at
             attempt = pool.send()
             assert attempt.connection is None and not pool.pool.connecting
-            await pool.end(2)
+            await pool.result(2)
             assert pool.pool.clock() >= attempt.started_at and peer.connections == 1
 
     run(body())
 
 
-def test_a_connection_that_the_peer_has_ended_is_not_used() -> None:
+def test_connection_closed_by_the_peer_is_not_reused() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
@@ -256,98 +265,98 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             pool.send()
-            assert await pool.end() == (Outcome.OK, b"0")
+            assert await pool.result() == (Outcome.OK, b"0")
             await until(lambda: peer.ended)
             pool.send()
-            assert await pool.end(2) == (Outcome.OK, b"1")
+            assert await pool.result(2) == (Outcome.OK, b"1")
 
     run(body())
 
 
-def test_an_answer_that_nothing_asked_for_is_served_to_nobody() -> None:
+def test_unsolicited_reply_closes_the_connection() -> None:
     async def body() -> None:
         async with backend(value(b"one") + value(b"two")) as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             pool.send()
-            assert await pool.end() == (Outcome.OK, b"one")
+            assert await pool.result() == (Outcome.OK, b"one")
             assert pool.pool.connection_count == 0
 
     run(body())
 
 
-def test_idle_connections_are_closed_before_the_backend_does(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_closed_before_the_endpoint_closes_them(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address, idle=15.0)
+            pool = PoolUnderTest(peer.address, idle_timeout=15.0)
             pool.send()
-            await pool.end()
-            pool.skipped = 8.0
+            await pool.result()
+            pool.clock_offset = 8.0
             await asyncio.sleep(0.05)
             assert pool.pool.connection_count == 1
-            pool.skipped = 10.0
+            pool.clock_offset = 10.0
             await until(lambda: pool.pool.connection_count == 0 and peer.ended)
 
     run(body())
 
 
-def test_a_connection_that_rested_too_long_is_not_used_again_before_the_next_sweep() -> None:
-    """The backend closes it after 2 s, which is less than our share of that and the time between two sweeps."""
+def test_connection_idle_too_long_is_not_reused_between_sweeps() -> None:
+    """The endpoint closes it after 2 s; our part of that time is shorter than the interval between two sweeps."""
 
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address, idle=2.0)
+            pool = PoolUnderTest(peer.address, idle_timeout=2.0)
             for number in range(2):
                 pool.send()
-                await pool.end(number + 1)
+                await pool.result(number + 1)
             assert peer.connections == 1
-            pool.skipped = 1.5
+            pool.clock_offset = 1.5
             pool.send()
-            assert (await pool.end(3))[0] is Outcome.OK
+            assert (await pool.result(3))[0] is Outcome.OK
             assert peer.connections == 2
 
     run(body())
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
-def test_nothing_new_is_written_after_the_grace_of_a_drain(readiness: Readiness) -> None:
+def test_nothing_new_is_written_after_the_drain_grace_period(readiness: Readiness) -> None:
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address)
-            pool.send()  # its connection comes up after the grace has run out
-            pool.tell((Endpoint("s0", readiness=readiness), peer.address), full=False)
-            pool.skipped = 1.0
-            assert await pool.end() == (Outcome.CONNECT_FAILED, None)
+            pool = PoolUnderTest(peer.address)
+            pool.send()  # its connection is established after the grace period has ended
+            pool.update_endpoints((Endpoint("s0", readiness=readiness), peer.address), full=False)
+            pool.clock_offset = 1.0
+            assert await pool.result() == (Outcome.CONNECT_FAILED, None)
             pool.send()
-            assert await pool.end(2) == (Outcome.CONNECT_FAILED, None)
+            assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
             assert not peer.commands
-            pool.tell((Endpoint("s0"), peer.address), full=False)
+            pool.update_endpoints((Endpoint("s0"), peer.address), full=False)
             pool.send()
-            assert (await pool.end(3))[0] is Outcome.OK
+            assert (await pool.result(3))[0] is Outcome.OK
 
     run(body())
 
 
-def test_what_a_full_list_leaves_out_is_gone() -> None:
+def test_endpoint_missing_from_a_complete_list_is_removed() -> None:
     async def body() -> None:
         async with backend() as peer, backend() as other:
-            pool = Pool(peer.address, other.address)
+            pool = PoolUnderTest(peer.address, other.address)
             pool.send("s0")
-            await pool.end()
-            pool.tell((Endpoint("s1"), other.address))
+            await pool.result()
+            pool.update_endpoints((Endpoint("s1"), other.address))
             await until(lambda: pool.pool.connection_count == 0)
-            pool.skipped = 1.0
+            pool.clock_offset = 1.0
             pool.send("s0")
-            assert await pool.end(2) == (Outcome.CONNECT_FAILED, None)
+            assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
             assert len(peer.commands) == 1
 
     run(body())
 
 
-def test_a_connection_in_use_while_its_backend_moves_is_not_used_again() -> None:
+def test_connection_to_the_old_address_is_not_reused_after_a_move() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         old.commands.append(await read_command(reader))
         await until(lambda: moved)
@@ -356,44 +365,44 @@
 
     async def body() -> None:
         async with old, backend(value(b"new")) as new:
-            pool = Pool(old.address)
+            pool = PoolUnderTest(old.address)
             pool.send()
             await until(lambda: old.commands)
-            pool.tell((Endpoint("s0"), new.address), full=False)
+            pool.update_endpoints((Endpoint("s0"), new.address), full=False)
             moved.append(True)
-            assert await pool.end() == (Outcome.OK, b"old")
+            assert await pool.result() == (Outcome.OK, b"old")
             pool.send()
-            assert await pool.end(2) == (Outcome.OK, b"new")
+            assert await pool.result(2) == (Outcome.OK, b"new")
 
     moved: list[bool] = []
     old = Peer(script)
     run(body())
 
 
-def test_a_backend_at_a_new_address_is_sought_there() -> None:
+def test_endpoint_that_moved_is_contacted_at_its_new_address() -> None:
     async def body() -> None:
         async with backend(value(b"old")) as old, backend(value(b"new")) as new:
-            pool = Pool(old.address)
+            pool = PoolUnderTest(old.address)
             pool.send()
-            await pool.end()
-            pool.tell((Endpoint("s0"), new.address), full=False)
+            await pool.result()
+            pool.update_endpoints((Endpoint("s0"), new.address), full=False)
             pool.send()
-            assert await pool.end(2) == (Outcome.OK, b"new")
+            assert await pool.result(2) == (Outcome.OK, b"new")
 
     run(body())
 
 
-def test_sockets_are_bounded_over_all_backends() -> None:
+def test_connections_are_limited_over_all_endpoints() -> None:
     async def body() -> None:
         async with backend() as one, backend(b"") as silent:
-            pool = Pool(one.address, silent.address, most=2)
+            pool = PoolUnderTest(one.address, silent.address, max_connections=2)
             pool.send("s0")
-            await pool.end()
+            await pool.result()
             pool.send("s1")
-            pool.send("s1")  # takes the place of the idle connection to the other
+            pool.send("s1")  # replaces the idle connection to the other endpoint
             pool.send("s1")
-            assert await pool.end(2) == (Outcome.CONNECT_FAILED, None)
+            assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
             await until(lambda: len(silent.commands) == 2)
-            assert pool.pool.connection_count == 2 and pool.ends[-1][0] == 3
+            assert pool.pool.connection_count == 2 and pool.results[-1][0] == 3
 
     run(body())
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -1,4 +1,4 @@
-"""Connections under stress, on real sockets: surges, floods from one address, lost paths, no descriptor left."""
+"""Connections under stress, on real sockets: surges, floods from one address, lost paths, exhausted descriptors."""
 
 from __future__ import annotations
 
@@ -47,15 +47,15 @@
     until,
     value,
 )
-from tests.test_net_backends import Pool
+from tests.test_net_backends import PoolUnderTest
 from tests.test_net_ingress import Stub, serving
 
 PING = resp(b"PING")
 
 
 def drop_all(sock: socket.socket) -> None:
-    """Nothing that comes to the socket is taken any more, not even acknowledged: its machine has vanished."""
-    program = struct.pack("HBBI", 0x06, 0, 0, 0)  # the filter's one instruction: keep no byte
+    """Drop all incoming packets of the socket without acknowledging them, as if the machine had vanished."""
+    program = struct.pack("HBBI", 0x06, 0, 0, 0)  # the only instruction of the filter: keep no byte
     buffer = ctypes.create_string_buffer(program)
     sock.setsockopt(socket.SOL_SOCKET, 26, struct.pack("HL", 1, ctypes.addressof(buffer)))  # SO_ATTACH_FILTER
 
@@ -64,20 +64,25 @@
     return Caller(*await asyncio.open_connection(*to, local_addr=(host, 0)))
 
 
-# Shares
+# Connection limits per address
 
 
 @given(st.integers(4, 400), st.lists(st.tuples(st.booleans(), st.integers(0, 5)), max_size=300))
-def test_an_address_is_bounded_only_past_half_and_never_below_its_part(
-    most: int, steps: list[tuple[bool, int]]
+def test_address_is_limited_only_past_half_the_total_and_never_below_its_share(
+    max_connections: int, steps: list[tuple[bool, int]]
 ) -> None:
-    third, shares, held = most // 2, ConnectionShares(most, most // 2), Counter[str]()
-    for comes, number in steps:
+    guaranteed = max_connections // 2
+    shares = ConnectionShares(max_connections, max_connections // 2)
+    held = Counter[str]()
+    for is_new, number in steps:
         peer = f"127.0.0.{number}"
-        if comes:
-            room = shares.can_accept(peer)
-            assert room or (held.total() >= most / 2 and held[peer] >= max(third, most // max(1, len(+held))))
-            if room:
+        if is_new:
+            can_accept = shares.can_accept(peer)
+            assert can_accept or (
+                held.total() >= max_connections / 2
+                and held[peer] >= max(guaranteed, max_connections // max(1, len(+held)))
+            )
+            if can_accept:
                 shares.add(peer)
                 held[peer] += 1
         elif held[peer]:
@@ -86,7 +91,7 @@
         assert shares.by_address == +held and shares.total == held.total()
 
 
-def test_a_flood_from_one_address_leaves_room_for_the_others() -> None:
+def test_flood_from_one_address_leaves_connections_for_other_addresses() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             served.clients.resize(60)
@@ -97,7 +102,7 @@
                 assert await other.ask(command()) == b"00000000000000aa"
             fresh = [await from_address(f"127.0.2.{n}", address) for n in range(1, 26)]
             assert [await one.ask(PING) for one in fresh] == [b"PONG"] * 25
-            assert [await one.ask(PING) for one in others] == [b"PONG"] * 5  # none of them was let go
+            assert [await one.ask(PING) for one in others] == [b"PONG"] * 5  # none of them was closed
             held = Counter(c.peer for c in served.clients.connections)
             assert held["127.0.0.1"] <= 30 and len(served.clients.connections) <= 60
             assert served.clients.shares.total == len(served.clients.connections)
@@ -107,7 +112,7 @@
     run(body())
 
 
-def test_one_that_holds_more_than_its_part_gives_up_its_own_or_is_told_why(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_address_over_its_share_loses_its_own_idle_connection_or_gets_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
             served.clients.resize(20)
@@ -116,7 +121,7 @@
             first = await from_address("127.0.3.1", address)
             assert await first.ask(PING) == b"PONG"
             busy = [await from_address("127.0.0.1", address) for _ in range(10)]
-            for n, caller in enumerate(busy):  # each waits for an answer: none is idle
+            for n, caller in enumerate(busy):  # each waits for an answer, so none is idle
                 caller.writer.write(command(f"{n}", d=20_000))
             await until(lambda: len(served.requests.in_flight) == 10)
             extra = await from_address("127.0.0.1", address)
@@ -126,12 +131,12 @@
                 await extra.answer()
             assert served.clients.rejected_count >= 1
             assert await (await from_address("127.0.3.2", address)).ask(PING) == b"PONG"
-            assert len(served.requests.in_flight) == 10  # no request of the flood was given up for it either
+            assert len(served.requests.in_flight) == 10  # no request of the flood was cancelled either
 
     run(body())
 
 
-def test_clients_that_all_come_from_one_address_are_not_bounded_by_it() -> None:
+def test_single_address_may_use_all_connections() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             served.clients.resize(40)
@@ -143,35 +148,35 @@
     run(body())
 
 
-# A surge of clients
+# A surge of connections
 
 
-def test_two_hundred_connections_at_once_are_taken_in_batches_between_requests() -> None:
+def test_surge_of_connections_is_accepted_in_batches_between_requests() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             served.clients.resize(400)
             steady = await Caller.to(address)
             assert await steady.ask(command()) == b"00000000000000aa"
             batches: list[int] = []
-            take = served.clients.acceptor.on_accept
-            now = [0]
+            on_accept = served.clients.acceptor.on_accept
+            accepted_in_batch = [0]
 
             def counted(sock: socket.socket, peer: str) -> bool:
-                now[0] += 1
-                return take(sock, peer)
+                accepted_in_batch[0] += 1
+                return on_accept(sock, peer)
 
             served.clients.acceptor.on_accept = counted
-            batch = served.clients.acceptor._batch
+            accept_batch = served.clients.acceptor._batch
 
-            def one_batch() -> bool:
-                now[0] = 0
-                more = batch()
-                batches.append(now[0])
-                return more
+            def counted_batch() -> bool:
+                accepted_in_batch[0] = 0
+                has_more = accept_batch()
+                batches.append(accepted_in_batch[0])
+                return has_more
 
             served.clients.acceptor.loop.remove_reader(served.clients.acceptor.socket)
-            served.clients.acceptor.loop.add_reader(served.clients.acceptor.socket, one_batch)
-            surge = [socket.create_connection(address) for _ in range(200)]  # the loop does not run meanwhile
+            served.clients.acceptor.loop.add_reader(served.clients.acceptor.socket, counted_batch)
+            surge = [socket.create_connection(address) for _ in range(200)]  # the event loop is blocked meanwhile
             assert await steady.ask(command("1" * 16)) == b"1" * 16
             await until(lambda: len(served.clients.connections) == 201)
             assert max(batches) <= listener.BATCH < 200 and sum(batches) == 200
@@ -181,18 +186,20 @@
     run(body())
 
 
-# No descriptor left
+# Exhausted descriptors
 
 
-class Short:
-    """A listening socket whose `accept` fails for want of a descriptor, until `short` is unset."""
+class ExhaustedSocket:
+    """A listening socket whose `accept` fails with EMFILE while `is_exhausted` is set."""
 
     def __init__(self, sock: socket.socket) -> None:
-        self.sock, self.short, self.calls = sock, True, 0
+        self.sock = sock
+        self.is_exhausted = True
+        self.accept_calls = 0
 
     def accept(self) -> tuple[socket.socket, Any]:
-        self.calls += 1
-        if self.short:
+        self.accept_calls += 1
+        if self.is_exhausted:
             raise OSError(errno.EMFILE, "Too many open files")
         return self.sock.accept()
 
@@ -201,12 +208,15 @@
 
 
 @pytest.mark.parametrize("reloaded", [False, True])
-def test_the_system_takes_as_many_at_once_as_the_process_may_hold(reloaded: bool) -> None:
-    """All come while the process stands still.  One that is not taken tries again after a second."""
-    coming = listener.MIN_BACKLOG + 100
-    longest = int(Path("/proc/sys/net/core/somaxconn").read_text(encoding="ascii"))
-    if longest <= coming or resource.getrlimit(resource.RLIMIT_NOFILE)[0] < 4096:
-        pytest.skip("the system allows less")
+def test_backlog_accepts_as_many_connections_at_once_as_the_process_may_open(reloaded: bool) -> None:
+    """The connections arrive while the event loop is blocked.
+
+    A connection that does not fit in the backlog is retried by its client only after a second.
+    """
+    connection_count = listener.MIN_BACKLOG + 100
+    max_backlog = int(Path("/proc/sys/net/core/somaxconn").read_text(encoding="ascii"))
+    if max_backlog <= connection_count or resource.getrlimit(resource.RLIMIT_NOFILE)[0] < 4096:
+        pytest.skip("the system allows fewer connections or descriptors")
 
     async def body() -> None:
         few, many = ({"cores": 1.0, "memory_mb": 192, "sockets": sockets} for sockets in (256, 4096))
@@ -215,36 +225,36 @@
             if reloaded:
                 after = with_shared_document(before, dict(before.document) | {"limits": many})
                 assert not await served.changes.change(after, "reload")
-            assert served.clients.max_connections >= coming
-            held = [socket.create_connection(address, timeout=0.5) for _ in range(coming)]  # the loop takes no turn
+            assert served.clients.max_connections >= connection_count
+            held = [socket.create_connection(address, timeout=0.5) for _ in range(connection_count)]
             for sock in held:
                 sock.close()
 
     run(body())
 
 
-def test_accept_without_a_descriptor_rests_in_place_of_spinning(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_accept_without_descriptors_pauses_instead_of_spinning(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(listener, "EXHAUSTED_PAUSE", 0.05)
 
     async def body() -> None:
-        taken: list[socket.socket] = []
+        accepted: list[socket.socket] = []
 
-        def take(sock: socket.socket, peer: str) -> bool:
-            taken.append(sock)
+        def on_accept(sock: socket.socket, peer: str) -> bool:
+            accepted.append(sock)
             return True
 
-        door = Listener(("127.0.0.1", 0), take)
-        short = Short(door.socket)
-        door.socket = short  # type: ignore[assignment]
-        door.open()
-        waiting = socket.create_connection(short.sock.getsockname())
-        await until(lambda: door.exhausted_count >= 4)
-        assert short.calls == door.exhausted_count  # one call a rest: the loop is free between them
-        assert not door.is_reading
-        short.short = False
-        await until(lambda: taken)
-        assert door.is_reading
-        door.close()
+        acceptor = Listener(("127.0.0.1", 0), on_accept)
+        exhausted = ExhaustedSocket(acceptor.socket)
+        acceptor.socket = exhausted  # type: ignore[assignment]
+        acceptor.open()
+        waiting = socket.create_connection(exhausted.sock.getsockname())
+        await until(lambda: acceptor.exhausted_count >= 4)
+        assert exhausted.accept_calls == acceptor.exhausted_count  # one call a pause: the loop is free in between
+        assert not acceptor.is_reading
+        exhausted.is_exhausted = False
+        await until(lambda: accepted)
+        assert acceptor.is_reading
+        acceptor.close()
         waiting.close()
 
     run(body())
@@ -252,7 +262,7 @@
 
 @pytest.fixture
 def few_descriptors() -> Iterator[int]:
-    """A process that may open only a few more descriptors than it has."""
+    """Limit this process to a few more descriptors than it has open."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     limit = len(os.listdir("/proc/self/fd")) + 40
     resource.setrlimit(resource.RLIMIT_NOFILE, (limit, hard))
@@ -260,17 +270,17 @@
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
 
 
-def test_an_ingress_without_descriptors_serves_on_and_recovers(
+def test_ingress_without_descriptors_keeps_serving_and_recovers(
     few_descriptors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It counts on more than the system has left, as where the system itself runs out (ENFILE)."""
+    """It assumes more descriptors than the system has left, as when the system itself runs out (ENFILE)."""
     monkeypatch.setattr("ingress.configuration.document.allowed", lambda sockets: sockets)
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             steady = await Caller.to(address)
             assert await steady.ask(command()) == b"00000000000000aa"
-            # Others, in processes of their own, take all that this one may open.
+            # Clients in another process use up all descriptors that this one may open.
             flood = subprocess.Popen(
                 [
                     sys.executable,
@@ -305,10 +315,10 @@
     run(body())
 
 
-# Handshakes to backends
+# Connections to endpoints
 
 
-def test_attempts_that_wait_share_what_comes_up_and_what_is_given_back() -> None:
+def test_waiting_attempts_share_new_and_released_connections() -> None:
     async def body() -> None:
         go = asyncio.Event()
 
@@ -319,86 +329,86 @@
                 writer.write(value(words[2]))
 
         async with Peer(script) as peer:
-            pool = Pool(peer.address, most=64)
+            pool = PoolUnderTest(peer.address, max_connections=64)
             for _ in range(3):
                 pool.send()
             await until(lambda: len(peer.tasks) == 3)
             assert pool.pool.opened_count == 3
-            gone = pool.send()  # opens a fourth, and is given up before that is up
-            pool.pool.cancel_attempt(gone)
+            cancelled = pool.send()  # opens a fourth, and is cancelled before that is established
+            pool.pool.cancel_attempt(cancelled)
             pool.send()
-            assert pool.pool.opened_count == 4  # the next one waits for it, rather than open a fifth
+            assert pool.pool.opened_count == 4  # the next attempt waits for it rather than opening a fifth
             go.set()
-            await until(lambda: len(pool.ends) == 5)
-            assert Counter(outcome for _, outcome, _ in pool.ends) == {Outcome.OK: 4, Outcome.CANCELLED: 1}
-            # The last may have been served by one that was given back, before the fourth is up.
+            await until(lambda: len(pool.results) == 5)
+            assert Counter(outcome for _, outcome, _ in pool.results) == {Outcome.OK: 4, Outcome.CANCELLED: 1}
+            # The last attempt may have used a released connection before the fourth is established.
             await until(lambda: not pool.pool.connecting)
             assert pool.pool.connection_count == pool.pool.opened_count == 4
 
     run(body())
 
 
-def test_no_more_than_a_few_connections_come_up_at_once_and_all_attempts_are_served() -> None:
+def test_concurrent_connects_to_an_endpoint_are_limited_and_all_attempts_are_served() -> None:
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address, most=200, timeout=5.0)
+            pool = PoolUnderTest(peer.address, max_connections=200, timeout=5.0)
             for _ in range(50):
                 pool.send()
             target = pool.pool.endpoints["s0"]
             assert target.connecting == pools.MAX_CONNECTING_PER_ENDPOINT == pool.pool.connecting
-            await until(lambda: len(pool.ends) == 50)
-            assert {outcome for _, outcome, _ in pool.ends} == {Outcome.OK}
-            assert pool.pool.opened_count < 50  # most were served by what others gave back
+            await until(lambda: len(pool.results) == 50)
+            assert {outcome for _, outcome, _ in pool.results} == {Outcome.OK}
+            assert pool.pool.opened_count < 50  # most attempts used connections that others had released
             assert not target.waiting_attempts
-            await until(lambda: not pool.pool.connecting)  # those that nobody needs any more come up as well
+            await until(lambda: not pool.pool.connecting)  # unneeded connections are established as well
             assert not target.connecting
 
     run(body())
 
 
-def test_the_bound_over_all_backends_lets_each_have_its_turn(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_limit_over_all_endpoints_lets_each_endpoint_connect(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pools, "MAX_CONNECTING", 3)
 
     async def body() -> None:
         async with backend() as one, backend() as two, backend() as three:
-            pool = Pool(one.address, two.address, three.address, most=200, timeout=5.0)
+            pool = PoolUnderTest(one.address, two.address, three.address, max_connections=200, timeout=5.0)
             for n in range(30):
                 pool.send(f"s{n % 3}")
             assert pool.pool.connecting == 3
-            await until(lambda: len(pool.ends) == 30)
-            assert {outcome for _, outcome, _ in pool.ends} == {Outcome.OK}
+            await until(lambda: len(pool.results) == 30)
+            assert {outcome for _, outcome, _ in pool.results} == {Outcome.OK}
             assert not pool.pool.connect_queue
 
     run(body())
 
 
-def test_a_backend_that_refuses_ends_every_attempt_in_line() -> None:
+def test_refused_connect_ends_every_waiting_attempt() -> None:
     async def body() -> None:
-        pool = Pool(("127.0.0.1", 1), most=64)
+        pool = PoolUnderTest(("127.0.0.1", 1), max_connections=64)
         for _ in range(20):
             pool.send()
-        await until(lambda: len(pool.ends) == 20)
-        assert {outcome for _, outcome, _ in pool.ends} == {Outcome.CONNECT_FAILED}
+        await until(lambda: len(pool.results) == 20)
+        assert {outcome for _, outcome, _ in pool.results} == {Outcome.CONNECT_FAILED}
         assert not pool.pool.endpoints["s0"].waiting_attempts
-        # All that have waited for a connect time-out end with the first refusal, before the other connects are over.
+        # All that have waited for the connect timeout end with the first refusal, before the other connects end.
         await until(lambda: not pool.pool.connection_count)
         assert not pool.pool.connecting
 
     run(body())
 
 
-def test_what_waits_for_a_backend_that_leaves_or_moves_ends_or_goes_to_its_new_address() -> None:
+def test_waiting_attempts_follow_a_moved_endpoint_and_end_with_a_removed_one() -> None:
     async def body() -> None:
         async with backend() as old, backend() as new:
-            pool = Pool(old.address, most=64, timeout=5.0)
+            pool = PoolUnderTest(old.address, max_connections=64, timeout=5.0)
             pool.send()
-            pool.tell((Endpoint("s0"), new.address))  # it moves while the connection comes up
-            assert (await pool.end())[0] is Outcome.OK
+            pool.update_endpoints((Endpoint("s0"), new.address))  # it moves while the connection is being established
+            assert (await pool.result())[0] is Outcome.OK
             assert new.connections == 1
             pool.send()
-            pool.tell()  # gone from the list
-            pool.skipped += 5.0
-            await until(lambda: len(pool.ends) == 2)
+            pool.update_endpoints()  # removed from the list
+            pool.clock_offset += 5.0
+            await until(lambda: len(pool.results) == 2)
             assert pool.pool.connection_count <= 1
 
     run(body())
@@ -407,7 +417,7 @@
 # Peers that vanish
 
 
-def test_a_path_that_is_lost_is_told_from_a_slow_server_before_the_attempt_is_over(
+def test_lost_path_is_distinguished_from_a_slow_endpoint_before_the_attempt_times_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def body() -> None:
@@ -423,19 +433,19 @@
             await reader.read()
 
         async with Peer(script) as peer:
-            pool = Pool(peer.address, timeout=0.1)
+            pool = PoolUnderTest(peer.address, timeout=0.1)
             pool.send()
-            assert (await pool.end())[0] is Outcome.OK
+            assert (await pool.result())[0] is Outcome.OK
             await asked.wait()
-            attempt = pool.send(wait=15.0)  # on the idle connection, which looks open
-            began = pool.pool.clock()
-            assert (await pool.end(2))[0] is Outcome.RESET  # it may have run
-            assert pool.pool.clock() - began < 10.0 and attempt.has_ended
+            attempt = pool.send(wait=15.0)  # on the idle connection, which still looks open
+            started_at = pool.pool.clock()
+            assert (await pool.result(2))[0] is Outcome.RESET  # it may have run
+            assert pool.pool.clock() - started_at < 10.0 and attempt.has_ended
 
     run(body())
 
 
-def test_the_system_is_asked_to_find_clients_that_vanish() -> None:
+def test_client_connections_enable_keepalive() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             caller = await Caller.to(address)
@@ -453,7 +463,7 @@
     run(body())
 
 
-def test_a_client_that_vanished_is_let_go_when_it_acknowledges_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_vanished_client_is_closed_when_it_acknowledges_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sockets, "UNACKNOWLEDGED_TIMEOUT_S", 0.3)
 
     async def body() -> None:
@@ -471,14 +481,14 @@
             caller.writer.write(command(d=10_000))
             await until(lambda: served.requests.in_flight)
             drop_all(caller.writer.get_extra_info("socket"))
-            go.set()  # the answer goes out and is never acknowledged
+            go.set()  # the answer is sent and never acknowledged
             await until(lambda: not served.clients.connections)
             assert not served.requests.in_flight
 
     run(body())
 
 
-def test_a_client_whose_process_is_stopped_is_let_go_when_it_reads_nothing(
+def test_stopped_client_process_is_closed_when_it_reads_nothing(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(client_timeouts, "STALL_TIMEOUT", 0.3)
@@ -520,44 +530,45 @@
     run(body())
 
 
-# Time that nobody saw pass
+# Time spent in socket buffers
 
 
-def test_a_request_that_waited_unread_has_so_much_less_time() -> None:
-    """Found on the full fleet's herd day: what came while a process was starting was answered by its own clock, after
-    the client's time."""
+def test_deadline_includes_the_time_a_request_waited_unread() -> None:
+    """A request that arrived while a process was starting was answered after the client's timeout, because its deadline
+    was measured from the time it was read.
+    """
 
     async def body() -> None:
         async with backend(b"") as silent, serving(config(entry(silent.address))) as (served, address):
-            for fresh in (False, True):  # on a connection that was read before, and on one that waits to be accepted
+            for fresh in (False, True):  # on an accepted connection, and on one in the backlog
                 sock = socket.create_connection(address)
                 caller = Caller(*await asyncio.open_connection(sock=sock)) if not fresh else None
                 if caller is not None:
                     assert await caller.ask(resp(b"PING")) == b"PONG"
-                began = time.monotonic()
+                started_at = time.monotonic()
                 sock.send(command(d=1500))
-                time.sleep(1.0)  # the process stands still
+                time.sleep(1.0)  # the event loop is blocked
                 caller = caller or Caller(*await asyncio.open_connection(sock=sock))
                 answer = await caller.answer()
                 assert isinstance(answer, hiredis.ReplyError)
-                assert 1.0 < time.monotonic() - began < 2.2, "by the process's own clock it is 2.5"
+                assert 1.0 < time.monotonic() - started_at < 2.2, "2.5 s if measured from the time of reading"
                 caller.writer.close()
             assert served.metrics.requests_in_flight == 0
 
     run(body())
 
 
-def test_what_is_read_again_and_again_has_not_waited() -> None:
+def test_seconds_since_last_receive_restarts_with_new_data() -> None:
     one, other = socket.socketpair()
     with one, other:
-        assert seconds_since_last_receive(one) == 0.0  # no TCP: the system does not tell
-    with socket.create_server(("127.0.0.1", 0)) as door, socket.create_connection(door.getsockname()) as there:
-        here, _ = door.accept()
-        there.sendall(b"x")
+        assert seconds_since_last_receive(one) == 0.0  # not TCP: the system cannot report it
+    with socket.create_server(("127.0.0.1", 0)) as server, socket.create_connection(server.getsockname()) as client:
+        accepted, _ = server.accept()
+        client.sendall(b"x")
         time.sleep(0.3)
-        assert 0.25 < seconds_since_last_receive(here) < 5.0
-        there.sendall(b"y")
-        while not here.recv(1 << 10).endswith(b"y"):
+        assert 0.25 < seconds_since_last_receive(accepted) < 5.0
+        client.sendall(b"y")
+        while not accepted.recv(1 << 10).endswith(b"y"):
             pass
-        assert seconds_since_last_receive(here) < 0.25
-        here.close()
+        assert seconds_since_last_receive(accepted) < 0.25
+        accepted.close()
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -1,4 +1,4 @@
-"""The counter's client: outcomes, the order of answers, and connections that fail."""
+"""The client of the counter: outcomes, the order of replies, and failing connections."""
 
 from __future__ import annotations
 
@@ -15,24 +15,25 @@
 from tests.peers import Address, Peer, Reader, Writer, run, until
 
 
-class Calls:
-    """A counter's client under test, and what it has told."""
+class CounterUnderTest:
+    """A counter client under test that records its replies."""
 
     def __init__(self, address: Address, timeout: float = 5.0) -> None:
         self.replies: list[CounterReply] = []
-        self.counter = CounterClient(address, timeout, unix_clock(), self.replies.append)
+        self.client = CounterClient(address, timeout, unix_clock(), self.replies.append)
 
     def add(self, name: int = 7, amount: float = 1.0, lifetime: float = 60.0) -> None:
-        self.counter.call(name, amount, lifetime)
+        self.client.call(name, amount, lifetime)
 
     async def reply(self, count: int = 1) -> tuple[int, Outcome, float]:
+        """Wait for so many replies, and return the last of these."""
         await until(lambda: len(self.replies) >= count)
-        last = self.replies[count - 1]
-        return last.name, last.outcome, last.total
+        reply = self.replies[count - 1]
+        return reply.name, reply.outcome, reply.total
 
 
 def scripted(*answers: bytes) -> Peer:
-    """Answers the calls in turn, then falls silent."""
+    """Return a counter that gives these answers to the first calls, and then stops answering."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         for answer in answers:
@@ -60,12 +61,12 @@
         (b"ok 1_0\r\n", Outcome.TIMEOUT, 0.0),
     ],
 )
-def test_what_an_answer_means(answer: bytes, outcome: Outcome, total: float) -> None:
+def test_outcome_of_each_kind_of_reply(answer: bytes, outcome: Outcome, total: float) -> None:
     async def body() -> None:
         async with scripted(answer) as peer:
-            calls = Calls(peer.address)
-            calls.add()
-            assert await calls.reply() == (7, outcome, total)
+            counter = CounterUnderTest(peer.address)
+            counter.add()
+            assert await counter.reply() == (7, outcome, total)
 
     run(body())
 
@@ -80,11 +81,11 @@
         (1e8, 1.0, b"add 7 100000000 1000\r\n"),
     ],
 )
-def test_a_call_on_the_wire(amount: float, lifetime: float, line: bytes) -> None:
+def test_encoding_of_a_call(amount: float, lifetime: float, line: bytes) -> None:
     async def body() -> None:
         async with scripted() as peer:
-            calls = Calls(peer.address)
-            calls.add(7, amount, lifetime)
+            counter = CounterUnderTest(peer.address)
+            counter.add(7, amount, lifetime)
             await until(lambda: peer.commands)
             assert peer.commands == [[line]]
 
@@ -92,24 +93,24 @@
 
 
 def test_calls_are_pipelined_on_one_connection_and_matched_in_order() -> None:
-    made: list[Calls] = []
+    counters: list[CounterUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         for _ in range(3):
             peer.commands.append([await reader.readline()])
         writer.write(b"ok 1\r\nbu")
-        await until(lambda: made[0].replies)
+        await until(lambda: counters[0].replies)
         writer.write(b"sy\r\nok 3\r\n")
         await reader.read()
 
     async def body() -> None:
         async with peer:
-            calls = Calls(peer.address)
-            made.append(calls)
+            counter = CounterUnderTest(peer.address)
+            counters.append(counter)
             for name in (1, 2, 3):
-                calls.add(name)
-            await calls.reply(3)
-            assert [(r.name, r.outcome, r.total) for r in calls.replies] == [
+                counter.add(name)
+            await counter.reply(3)
+            assert [(r.name, r.outcome, r.total) for r in counter.replies] == [
                 (1, Outcome.OK, 1.0),
                 (2, Outcome.REJECTED, 0.0),
                 (3, Outcome.OK, 3.0),
@@ -120,106 +121,106 @@
     run(body())
 
 
-def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
-    made: list[Calls] = []
+def test_late_reply_is_not_matched_to_the_next_call() -> None:
+    counters: list[CounterUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
-        await until(lambda: made[0].replies)
-        made[0].counter.timeout = 5.0
-        made[0].add(2)
+        await until(lambda: counters[0].replies)
+        counters[0].client.timeout = 5.0
+        counters[0].add(2)
         await reader.readline()
         writer.write(b"ok 100\r\nok 200\r\n")
         await reader.read()
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = Calls(peer.address, timeout=0.2)
-            made.append(calls)
-            calls.add(1)
-            assert await calls.reply() == (1, Outcome.TIMEOUT, 0.0)
-            assert await calls.reply(2) == (2, Outcome.OK, 200.0)
+            counter = CounterUnderTest(peer.address, timeout=0.2)
+            counters.append(counter)
+            counter.add(1)
+            assert await counter.reply() == (1, Outcome.TIMEOUT, 0.0)
+            assert await counter.reply(2) == (2, Outcome.OK, 200.0)
 
     run(body())
 
 
-@pytest.mark.parametrize("strange", [b"", b"ok", b"ok {}", b"ok 1x2", b"ok nan"])
-def test_a_connection_that_answered_without_a_number_is_done(strange: bytes) -> None:
-    """What follows on it could be taken for another call's total."""
+@pytest.mark.parametrize("invalid_reply", [b"", b"ok", b"ok {}", b"ok 1x2", b"ok nan"])
+def test_invalid_reply_closes_the_connection(invalid_reply: bytes) -> None:
+    """What follows the invalid reply could be mistaken for the total of another call."""
 
     async def body() -> None:
         async def script(number: int, reader: Reader, writer: Writer) -> None:
             if number == 0:
                 for _ in range(3):
                     await reader.readline()
-                writer.write(strange + b"\r\nok 999\r\nok 998\r\n")
+                writer.write(invalid_reply + b"\r\nok 999\r\nok 998\r\n")
             while await reader.readline():
                 if number:
                     writer.write(b"ok 4\r\n")
 
         async with Peer(script) as peer:
-            calls = Calls(peer.address)
+            counter = CounterUnderTest(peer.address)
             for name in (1, 2, 3):
-                calls.add(name)
-            await calls.reply(3)
-            assert [(r.name, r.outcome) for r in calls.replies] == [(n, Outcome.TIMEOUT) for n in (1, 2, 3)]
-            calls.add(5)
-            assert await calls.reply(4) == (5, Outcome.OK, 4.0) and peer.connections == 2
+                counter.add(name)
+            await counter.reply(3)
+            assert [(r.name, r.outcome) for r in counter.replies] == [(n, Outcome.TIMEOUT) for n in (1, 2, 3)]
+            counter.add(5)
+            assert await counter.reply(4) == (5, Outcome.OK, 4.0) and peer.connections == 2
 
     run(body())
 
 
-def test_calls_go_to_a_counter_that_has_moved_and_those_out_are_still_answered() -> None:
+def test_new_calls_go_to_the_new_address_and_pending_ones_are_still_answered() -> None:
     async def body() -> None:
-        go = asyncio.Event()
+        may_answer = asyncio.Event()
 
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await reader.readline()
-            await go.wait()
+            await may_answer.wait()
             writer.write(b"ok 1\r\n")
-            assert not await reader.readline()  # the old connection ends without another call
+            assert not await reader.readline()  # the old connection is closed without another call
 
         async with Peer(script) as old, scripted(b"ok 2\r\n", b"ok 3\r\n") as new:
-            calls = Calls(old.address)
-            calls.add(1)
-            await until(lambda: calls.counter.connection is not None)
-            calls.counter.change_address(new.address)
-            calls.add(2)
-            assert await calls.reply() == (2, Outcome.OK, 2.0)
-            go.set()
-            assert await calls.reply(2) == (1, Outcome.OK, 1.0)
+            counter = CounterUnderTest(old.address)
+            counter.add(1)
+            await until(lambda: counter.client.connection is not None)
+            counter.client.change_address(new.address)
+            counter.add(2)
+            assert await counter.reply() == (2, Outcome.OK, 2.0)
+            may_answer.set()
+            assert await counter.reply(2) == (1, Outcome.OK, 1.0)
             await until(lambda: old.ended)
-            calls.add(3)
-            assert await calls.reply(3) == (3, Outcome.OK, 3.0)
+            counter.add(3)
+            assert await counter.reply(3) == (3, Outcome.OK, 3.0)
             assert (old.connections, new.connections) == (1, 1)
 
     run(body())
 
 
-def test_a_counter_that_moves_while_its_connection_comes_up_is_sought_there() -> None:
+def test_counter_that_moves_during_a_connect_is_contacted_at_its_new_address() -> None:
     async def body() -> None:
         async with scripted(b"ok 1\r\n") as old, scripted(b"ok 2\r\n") as new:
-            calls = Calls(old.address)
-            calls.add(1)
-            calls.counter.change_address(new.address)
-            assert await calls.reply() == (1, Outcome.OK, 2.0)
+            counter = CounterUnderTest(old.address)
+            counter.add(1)
+            counter.client.change_address(new.address)
+            assert await counter.reply() == (1, Outcome.OK, 2.0)
             assert not old.commands
 
     run(body())
 
 
-def test_a_refused_connection_added_nothing() -> None:
+def test_refused_connection_is_a_failed_connect() -> None:
     async def body() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             address = server.getsockname()
-        calls = Calls(address)
-        calls.add()
-        assert await calls.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
+        counter = CounterUnderTest(address)
+        counter.add()
+        assert await counter.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
 
     run(body())
 
 
-def test_a_call_that_waits_for_its_connection_is_never_sent_once_its_time_is_up() -> None:
+def test_call_queued_for_a_connection_is_not_sent_after_its_timeout() -> None:
     async def body() -> None:
         with socket.socket() as server:
             server.bind(("127.0.0.1", 0))
@@ -228,18 +229,18 @@
             for sock in crowd:
                 sock.setblocking(False)
                 sock.connect_ex(server.getsockname())
-            calls = Calls(server.getsockname(), timeout=0.05)
-            calls.add()
-            assert await calls.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
-            await until(lambda: calls.counter.connect_task is None)
-            assert len(calls.replies) == 1
+            counter = CounterUnderTest(server.getsockname(), timeout=0.05)
+            counter.add()
+            assert await counter.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
+            await until(lambda: counter.client.connect_task is None)
+            assert len(counter.replies) == 1
             for sock in crowd:
                 sock.close()
 
     run(body())
 
 
-def test_a_connection_that_ends_under_a_call_may_have_added_and_is_replaced() -> None:
+def test_connection_closed_during_a_call_is_a_timeout_and_is_replaced() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
         if number == 1:
@@ -248,16 +249,16 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = Calls(peer.address)
-            calls.add()
-            assert await calls.reply() == (7, Outcome.TIMEOUT, 0.0)
-            calls.add()
-            assert await calls.reply(2) == (7, Outcome.OK, 5.0)
+            counter = CounterUnderTest(peer.address)
+            counter.add()
+            assert await counter.reply() == (7, Outcome.TIMEOUT, 0.0)
+            counter.add()
+            assert await counter.reply(2) == (7, Outcome.OK, 5.0)
 
     run(body())
 
 
-def test_a_silent_connection_is_replaced() -> None:
+def test_silent_connection_is_replaced() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while await reader.readline():
             if number == 1:
@@ -265,61 +266,61 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = Calls(peer.address, timeout=0.02)
-            calls.add()
-            assert await calls.reply() == (7, Outcome.TIMEOUT, 0.0)
-            assert calls.counter.connection is not None
-            calls.counter.connection.pending_calls[0].made_at -= 60.0  # it is owed an answer for long
-            calls.counter.timeout = 5.0
-            calls.add()
-            assert await calls.reply(2) == (7, Outcome.OK, 5.0)
+            counter = CounterUnderTest(peer.address, timeout=0.02)
+            counter.add()
+            assert await counter.reply() == (7, Outcome.TIMEOUT, 0.0)
+            assert counter.client.connection is not None
+            counter.client.connection.pending_calls[0].made_at -= 60.0  # its reply is long overdue
+            counter.client.timeout = 5.0
+            counter.add()
+            assert await counter.reply(2) == (7, Outcome.OK, 5.0)
             assert peer.connections == 2
 
     run(body())
 
 
-def test_a_connection_is_silent_by_what_was_last_heard_not_by_its_oldest_call() -> None:
+def test_silence_is_measured_from_the_last_received_data_not_from_the_oldest_call() -> None:
     async def body() -> None:
         async with scripted() as peer:
-            calls = Calls(peer.address, timeout=1.0)
+            counter = CounterUnderTest(peer.address, timeout=1.0)
             for name in (1, 2):
-                calls.add(name)
-            await until(lambda: calls.counter.connection and len(calls.counter.connection.pending_calls) == 2)
-            link = calls.counter.connection
-            assert link is not None
-            start = link.pending_calls[0].made_at
-            assert not link.is_silent(start + module.SILENCE_TIMEOUT_RATIO)
-            assert link.is_silent(start + module.SILENCE_TIMEOUT_RATIO + 0.01)
-            link.data_received(b"ok 1\r\n")  # late, but it speaks
-            link.pending_calls[0].made_at = start - 100.0
-            assert not link.is_silent(link.last_received_at + module.SILENCE_TIMEOUT_RATIO)
-            assert link.is_silent(link.last_received_at + module.SILENCE_TIMEOUT_RATIO + 0.01)
+                counter.add(name)
+            await until(lambda: counter.client.connection and len(counter.client.connection.pending_calls) == 2)
+            connection = counter.client.connection
+            assert connection is not None
+            start = connection.pending_calls[0].made_at
+            assert not connection.is_silent(start + module.SILENCE_TIMEOUT_RATIO)
+            assert connection.is_silent(start + module.SILENCE_TIMEOUT_RATIO + 0.01)
+            connection.data_received(b"ok 1\r\n")  # a late reply
+            connection.pending_calls[0].made_at = start - 100.0
+            assert not connection.is_silent(connection.last_received_at + module.SILENCE_TIMEOUT_RATIO)
+            assert connection.is_silent(connection.last_received_at + module.SILENCE_TIMEOUT_RATIO + 0.01)
 
     run(body())
 
 
-def test_a_silent_connection_is_found_by_the_time_out_of_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connection_is_closed_at_the_timeout_of_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_RATIO", 0)
 
     async def body() -> None:
         async with scripted() as peer:
-            calls = Calls(peer.address, timeout=0.02)
-            calls.add()
-            assert await calls.reply() == (7, Outcome.TIMEOUT, 0.0)
-            await until(lambda: calls.counter.connection is None)
+            counter = CounterUnderTest(peer.address, timeout=0.02)
+            counter.add()
+            assert await counter.reply() == (7, Outcome.TIMEOUT, 0.0)
+            await until(lambda: counter.client.connection is None)
 
     run(body())
 
 
-def test_an_idle_connection_is_closed_from_here(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed_by_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "IDLE_TIMEOUT_S", 0.05)
 
     async def body() -> None:
         async with scripted(b"ok 1\r\n") as peer:
-            calls = Calls(peer.address)
-            calls.add()
-            await calls.reply()
+            counter = CounterUnderTest(peer.address)
+            counter.add()
+            await counter.reply()
             await until(lambda: peer.ended)
-            assert calls.counter.connection is None
+            assert counter.client.connection is None
 
     run(body())
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -1,4 +1,4 @@
-"""The watch: whole lists, changes, versions that start anew, and an agent that fails."""
+"""The discovery watch: complete lists, changes, versions that restart, and a failing service."""
 
 from __future__ import annotations
 
@@ -24,24 +24,30 @@
 from tests.peers import Peer, Reader, Writer, entry, run, until
 
 HERE = ("127.0.0.1", 6379)
-TOLD_WITHIN, RELOADED_WITHIN = 6.0, 4.0  # s until a change counts as told: since it could be reached, since a reload
+APPLY_DEADLINE_S = 6.0  # a change must be applied within this time after discovery is reachable
+RELOAD_DEADLINE_S = 4.0  # a list must be applied within this time after a reload
 
 
 def listing(version: int, full: bool, *rows: dict[str, Any]) -> bytes:
     return json.dumps({"version": version, "full": full, "servers": rows}).encode()
 
 
-class Agent:
-    """Gives one answer after another (None: none at all, b"": ends the connection), then is silent."""
+class ScriptedDiscovery:
+    """A discovery service that gives one answer after another, and then stops answering.
+
+    None leaves the request unanswered, and b"" closes the connection.
+    """
 
     def __init__(self, *answers: bytes | None) -> None:
-        self.answers, self.asked, self.at = list(answers), list[str](), list[float]()
+        self.answers = list(answers)
+        self.requests: list[str] = []
+        self.request_times: list[float] = []
         self.peer = Peer(self.script)
 
     async def script(self, _: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
-            self.asked.append(head.split(b" ")[1].decode())
-            self.at.append(time.monotonic())
+            self.requests.append(head.split(b" ")[1].decode())
+            self.request_times.append(time.monotonic())
             answer = self.answers.pop(0) if self.answers else None
             if answer == b"":
                 return
@@ -52,59 +58,70 @@
                 )
 
 
-async def watch(agent: Agent, calls: int, version: int | None = None) -> list[tuple[EndpointListKind, EndpointList]]:
-    """What was told until the agent was asked so many times."""
-    told: list[tuple[EndpointListKind, EndpointList]] = []
-    async with agent.peer:
+async def watch(
+    service: ScriptedDiscovery, calls: int, version: int | None = None
+) -> list[tuple[EndpointListKind, EndpointList]]:
+    """Return the updates received until the service has had so many requests."""
+    updates: list[tuple[EndpointListKind, EndpointList]] = []
+    async with service.peer:
         discovery = DiscoveryClient(
-            agent.peer.address, lambda kind, found: told.append((kind, found)), version, random.Random(1), time.time
+            service.peer.address,
+            lambda kind, endpoint_list: updates.append((kind, endpoint_list)),
+            version,
+            random.Random(1),
+            time.time,
         )
         task = asyncio.create_task(discovery.run())
-        await until(lambda: len(agent.asked) >= calls)
+        await until(lambda: len(service.requests) >= calls)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-    return told
+    return updates
 
 
 WATCH = "/api/targets?after=%d&wait_ms=" + str(module.WATCH_WAIT_MS)
 
 
-def test_a_whole_list_and_then_changes() -> None:
+def test_complete_list_followed_by_changes() -> None:
     async def body() -> None:
-        agent = Agent(
+        service = ScriptedDiscovery(
             listing(41, True, entry(HERE, started=0), entry(HERE, "s2", started=1_700_000_000_500)),
             listing(43, False, entry(HERE, "s2", "draining")),
             listing(44, False),
             listing(50, True, entry(HERE)),
         )
-        told = await watch(agent, 5)
-        assert agent.asked == ["/api/targets", WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
-        assert [kind for kind, _ in told] == [
+        updates = await watch(service, 5)
+        assert service.requests == ["/api/targets", WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
+        assert [kind for kind, _ in updates] == [
             EndpointListKind.REPLACE,
             EndpointListKind.UPDATE,
             EndpointListKind.REPLACE,
         ]
-        assert [b.started_at for b in told[0][1].endpoints] == [0.0, 1_700_000_000.5]
-        assert told[1][1].endpoints[0].readiness is Readiness.DRAINING
-        assert told[0][1].addresses["s2"] == HERE
+        assert [endpoint.started_at for endpoint in updates[0][1].endpoints] == [0.0, 1_700_000_000.5]
+        assert updates[1][1].endpoints[0].readiness is Readiness.DRAINING
+        assert updates[0][1].addresses["s2"] == HERE
 
     run(body())
 
 
-def test_an_agent_that_moves_is_asked_at_once_at_its_new_address_for_the_whole_list() -> None:
+def test_moved_service_is_asked_at_once_for_a_complete_list() -> None:
     async def body() -> None:
-        told: list[tuple[EndpointListKind, EndpointList]] = []
-        old, new = Agent(listing(41, True, entry(HERE))), Agent(listing(7, True, entry(HERE, "s2")))
+        updates: list[tuple[EndpointListKind, EndpointList]] = []
+        old = ScriptedDiscovery(listing(41, True, entry(HERE)))
+        new = ScriptedDiscovery(listing(7, True, entry(HERE, "s2")))
         async with old.peer, new.peer:
             discovery = DiscoveryClient(
-                old.peer.address, lambda kind, found: told.append((kind, found)), None, random.Random(1), time.time
+                old.peer.address,
+                lambda kind, endpoint_list: updates.append((kind, endpoint_list)),
+                None,
+                random.Random(1),
+                time.time,
             )
             task = asyncio.create_task(discovery.run())
-            await until(lambda: len(old.asked) == 2)  # the watch is on, and silent
+            await until(lambda: len(old.requests) == 2)  # the watch is in flight and unanswered
             discovery.change_address(new.peer.address)
-            await until(lambda: len(new.asked) == 2)
-            assert new.asked == ["/api/targets", WATCH % 7] and len(old.asked) == 2
-            assert [(kind, found.version) for kind, found in told] == [
+            await until(lambda: len(new.requests) == 2)
+            assert new.requests == ["/api/targets", WATCH % 7] and len(old.requests) == 2
+            assert [(kind, endpoint_list.version) for kind, endpoint_list in updates] == [
                 (EndpointListKind.REPLACE, 41),
                 (EndpointListKind.REPLACE, 7),
             ]
@@ -115,38 +132,41 @@
     run(body())
 
 
-def test_versions_that_start_anew_bring_the_whole_list() -> None:
+def test_restarted_versions_cause_a_request_for_a_complete_list() -> None:
     async def body() -> None:
-        agent = Agent(
+        service = ScriptedDiscovery(
             listing(41, True, entry(HERE)), listing(3, False, entry(HERE, "s9")), listing(3, True, entry(HERE, "s9"))
         )
-        told = await watch(agent, 4)
-        assert agent.asked == ["/api/targets", WATCH % 41, "/api/targets", WATCH % 3]
-        assert [[b.id for b in found.endpoints] for _, found in told] == [["s1"], ["s9"]]
+        updates = await watch(service, 4)
+        assert service.requests == ["/api/targets", WATCH % 41, "/api/targets", WATCH % 3]
+        assert [[endpoint.id for endpoint in endpoint_list.endpoints] for _, endpoint_list in updates] == [
+            ["s1"],
+            ["s9"],
+        ]
 
     run(body())
 
 
 @pytest.mark.parametrize("broken", [b"{", b"[]", b'{"version":1}', b'{"version":"x","servers":[]}'])
-def test_an_agent_that_fails_is_asked_again_and_the_list_kept(broken: bytes) -> None:
+def test_list_is_kept_and_the_service_polled_again_after_a_malformed_response(broken: bytes) -> None:
     async def body() -> None:
-        agent = Agent(listing(41, True, entry(HERE)), broken, broken, listing(42, True, entry(HERE)))
-        told = await watch(agent, 5)
-        assert agent.asked[:2] == ["/api/targets", WATCH % 41] and agent.asked[-1] == WATCH % 42
-        assert "/api/targets" in agent.asked[2:]
-        assert [found.version for _, found in told] == [41, 42]
-        assert agent.at[-1] - agent.at[0] >= module.MIN_PAUSE_S / 2  # gently
+        service = ScriptedDiscovery(listing(41, True, entry(HERE)), broken, broken, listing(42, True, entry(HERE)))
+        updates = await watch(service, 5)
+        assert service.requests[:2] == ["/api/targets", WATCH % 41] and service.requests[-1] == WATCH % 42
+        assert "/api/targets" in service.requests[2:]
+        assert [endpoint_list.version for _, endpoint_list in updates] == [41, 42]
+        assert service.request_times[-1] - service.request_times[0] >= module.MIN_PAUSE_S / 2  # after a pause
 
     run(body())
 
 
-def test_a_list_that_is_held_is_followed_by_what_changed_since() -> None:
+def test_known_list_is_updated_with_the_changes_since_its_version() -> None:
     async def body() -> None:
-        agent = Agent(listing(43, False, entry(HERE)), b"", b"", listing(44, False, entry(HERE)))
-        told = await watch(agent, 5, version=41)
-        # An agent that hangs up has forgotten nothing.
-        assert agent.asked == [WATCH % 41, WATCH % 43, WATCH % 43, WATCH % 43, WATCH % 44]
-        assert [(kind, found.version) for kind, found in told] == [
+        service = ScriptedDiscovery(listing(43, False, entry(HERE)), b"", b"", listing(44, False, entry(HERE)))
+        updates = await watch(service, 5, version=41)
+        # A closed connection does not invalidate the version.
+        assert service.requests == [WATCH % 41, WATCH % 43, WATCH % 43, WATCH % 43, WATCH % 44]
+        assert [(kind, endpoint_list.version) for kind, endpoint_list in updates] == [
             (EndpointListKind.UPDATE, 43),
             (EndpointListKind.UPDATE, 44),
         ]
@@ -154,11 +174,11 @@
     run(body())
 
 
-def test_the_first_version_of_all_is_followed_like_any_other() -> None:
+def test_version_zero_is_watched_like_any_other() -> None:
     async def body() -> None:
-        agent = Agent(listing(1, False, entry(HERE)))
-        await watch(agent, 2, version=0)
-        assert agent.asked == [WATCH % 0, WATCH % 1]
+        service = ScriptedDiscovery(listing(1, False, entry(HERE)))
+        await watch(service, 2, version=0)
+        assert service.requests == [WATCH % 0, WATCH % 1]
 
     run(body())
 
@@ -172,89 +192,104 @@
     )
 
 
-def asker(rng: random.Random, busy: float = module.MIN_PAUSE_S, now: float = 0.0) -> DiscoveryClient:
-    return DiscoveryClient(HERE, lambda kind, found: None, 41, rng, lambda: now, busy)
+def make_client(rng: random.Random, busy_pause: float = module.MIN_PAUSE_S, now: float = 0.0) -> DiscoveryClient:
+    return DiscoveryClient(HERE, lambda kind, endpoint_list: None, 41, rng, lambda: now, busy_pause)
 
 
 @pytest.mark.parametrize(("gateways", "first"), [(3, 0.3), (40, 4.0), (1000, module.ROUND_INTERVAL_S)])
-def test_pauses_after_busy_answers_are_shared_by_all_gateways(gateways: int, first: float) -> None:
+def test_pauses_after_busy_responses_scale_with_the_gateway_count(gateways: int, first: float) -> None:
     assert initial_busy_pause(settings(gateways, 10.0)) == pytest.approx(first)
-    busy, broken = BusyError(503, 0.0), HttpError("status 500")
+    busy_error = BusyError(503, 0.0)
+    other_error = HttpError("status 500")
     for now in (0.0, 1.7, 4.4, 1_700_000_003.2):
-        discovery = asker(random.Random(1), first, now)
-        turn = module.ROUND_INTERVAL_S - now % module.ROUND_INTERVAL_S
+        discovery = make_client(random.Random(1), first, now)
+        next_round = module.ROUND_INTERVAL_S - now % module.ROUND_INTERVAL_S
         assert all(
-            min(turn, first / 2) <= discovery._pause(busy, 0) <= min(turn + module.ROUND_SPREAD_S, first * 1.5)
+            min(next_round, first / 2)
+            <= discovery._pause(busy_error, 0)
+            <= min(next_round + module.ROUND_SPREAD_S, first * 1.5)
             for _ in range(50)
         )
         for failures in (1, 20, 1000):
-            assert all(turn <= discovery._pause(busy, failures) <= turn + module.ROUND_SPREAD_S for _ in range(50))
-        assert all(discovery._pause(broken, 20) <= module.MAX_PAUSE_S * 1.5 for _ in range(50))
-        # A Retry-After is kept to as far as the time allows in which a change counts as told.
-        assert discovery._pause(BusyError(503, 0.9), 0) >= min(0.9, turn)
-        assert turn <= discovery._pause(BusyError(503, 45.0), 0) <= turn + module.ROUND_SPREAD_S
+            assert all(
+                next_round <= discovery._pause(busy_error, failures) <= next_round + module.ROUND_SPREAD_S
+                for _ in range(50)
+            )
+        assert all(discovery._pause(other_error, 20) <= module.MAX_PAUSE_S * 1.5 for _ in range(50))
+        # A Retry-After is honoured as far as the deadline for applying a change allows.
+        assert discovery._pause(BusyError(503, 0.9), 0) >= min(0.9, next_round)
+        assert next_round <= discovery._pause(BusyError(503, 45.0), 0) <= next_round + module.ROUND_SPREAD_S
 
 
-def test_a_list_that_nobody_has_to_ask_for_keeps_short_pauses() -> None:
+def test_pauses_stay_short_without_a_poll_deadline() -> None:
     assert initial_busy_pause(settings(40, 0.0)) == module.MIN_PAUSE_S
 
 
-def test_the_longest_time_from_reachable_to_told_is_within_what_the_terms_allow() -> None:
-    """A call that went out just before is lost, given up, and followed by the longest pause; the next is answered."""
-    answer, draw = 0.4, 1.5
-    lost = max(module.WATCH_WAIT_MS / 1000 + module.WATCH_GRACE_S, module.POLL_TIMEOUT_S)
-    assert lost + draw * module.MAX_PAUSE_S + answer <= TOLD_WITHIN
-    assert module.ROUND_INTERVAL_S + module.ROUND_SPREAD_S + answer <= TOLD_WITHIN
-    assert module.POLL_TIMEOUT_S + draw * module.MIN_PAUSE_S + answer <= RELOADED_WITHIN
-    pauses = [asker(random.Random(n))._pause(TimeoutError(), failures) for n in range(50) for failures in range(20)]
-    assert max(pauses) <= draw * module.MAX_PAUSE_S
+def test_longest_time_until_a_change_is_applied_is_within_the_deadlines() -> None:
+    """The worst case: a call sent just before is lost, the longest pause follows, and the next call is answered."""
+    answer_time = 0.4
+    max_jitter = 1.5
+    lost_call_timeout = max(module.WATCH_WAIT_MS / 1000 + module.WATCH_GRACE_S, module.POLL_TIMEOUT_S)
+    assert lost_call_timeout + max_jitter * module.MAX_PAUSE_S + answer_time <= APPLY_DEADLINE_S
+    assert module.ROUND_INTERVAL_S + module.ROUND_SPREAD_S + answer_time <= APPLY_DEADLINE_S
+    assert module.POLL_TIMEOUT_S + max_jitter * module.MIN_PAUSE_S + answer_time <= RELOAD_DEADLINE_S
+    pauses = [
+        make_client(random.Random(n))._pause(TimeoutError(), failures) for n in range(50) for failures in range(20)
+    ]
+    assert max(pauses) <= max_jitter * module.MAX_PAUSE_S
 
 
 Pause = Callable[[DiscoveryClient, int, float], float]
 
 
-def in_rounds(caller: DiscoveryClient, failures: int, now: float) -> float:
-    caller.clock = lambda: now
-    return caller._pause(BusyError(503, 0.0), failures)
+def pause_in_rounds(client: DiscoveryClient, failures: int, now: float) -> float:
+    client.clock = lambda: now
+    return client._pause(BusyError(503, 0.0), failures)
+
 
+def random_pause(client: DiscoveryClient, failures: int, now: float) -> float:
+    """Return a random pause up to the round interval, independent of other gateways."""
+    return client.rng.uniform(0.0, module.ROUND_INTERVAL_S)
 
-def each_by_itself(caller: DiscoveryClient, failures: int, now: float) -> float:
-    """Anything between nothing and the longest time that the terms allow."""
-    return caller.rng.uniform(0.0, module.ROUND_INTERVAL_S)
 
+def count_served(
+    pause: Pause, ingresses: int = 40, capacity: float = 4.0, seconds: float = 120.0, started_at: float = 0.0
+) -> int:
+    """Return how many ingresses that start at the same time get an answer from an overloaded discovery service.
 
-def reached(pause: Pause, ingresses: int = 40, room: float = 4.0, seconds: float = 120.0, began: float = 0.0) -> int:
-    """How many of the ingresses that start at once get through to a discovery that answers `room` calls a second in
-    turn, holds a few, and works on those that were given up after 2 s as well."""
-    busy = initial_busy_pause(settings(ingresses, 10.0))
-    callers = [asker(random.Random(n), busy) for n in range(ingresses)]
-    calls = [(began + n / 1000, n, 0) for n in range(ingresses)]
-    free, through = 0.0, 0
-    while calls and calls[0][0] < began + seconds:
-        at, number, failures = heapq.heappop(calls)
-        if free - at > 3.5:  # as many wait as it holds
-            failed = at
+    The service answers `capacity` calls a second in order, queues a few, and also processes calls that timed out
+    after 2 s.
+    """
+    busy_pause = initial_busy_pause(settings(ingresses, 10.0))
+    clients = [make_client(random.Random(n), busy_pause) for n in range(ingresses)]
+    calls = [(started_at + n / 1000, n, 0) for n in range(ingresses)]
+    idle_at = 0.0
+    served = 0
+    while calls and calls[0][0] < started_at + seconds:
+        sent_at, number, failures = heapq.heappop(calls)
+        if idle_at - sent_at > 3.5:  # the queue is full
+            failed_at = sent_at
         else:
-            begun = max(free, at)
-            free = begun + 1 / room
-            if begun - at < 2.0:
-                through += 1
+            processed_at = max(idle_at, sent_at)
+            idle_at = processed_at + 1 / capacity
+            if processed_at - sent_at < 2.0:
+                served += 1
                 continue
-            failed = at + 2.0
-        heapq.heappush(calls, (failed + pause(callers[number], failures, failed), number, failures + 1))
-    return through
+            failed_at = sent_at + 2.0
+        heapq.heappush(calls, (failed_at + pause(clients[number], failures, failed_at), number, failures + 1))
+    return served
 
 
-@pytest.mark.parametrize(("ingresses", "room"), [(40, 4.0), (40, 2.0), (200, 4.0), (200, 20.0)])
-def test_a_fleet_that_starts_at_once_gets_through_to_a_discovery_that_is_short_of_room(
-    ingresses: int, room: float
+@pytest.mark.parametrize(("ingresses", "capacity"), [(40, 4.0), (40, 2.0), (200, 4.0), (200, 20.0)])
+def test_fleet_that_starts_at_once_is_served_by_an_overloaded_discovery_service(
+    ingresses: int, capacity: float
 ) -> None:
-    assert reached(each_by_itself, ingresses, room) < ingresses  # they keep each other out
-    for began in (0.0, 1.3, 4.4):
-        assert reached(in_rounds, ingresses, room, began=began) == ingresses
+    assert count_served(random_pause, ingresses, capacity) < ingresses  # without rounds some are never served
+    for started_at in (0.0, 1.3, 4.4):
+        assert count_served(pause_in_rounds, ingresses, capacity, started_at=started_at) == ingresses
 
 
-def test_answers_that_say_there_is_no_room_are_told_from_others() -> None:
+def test_overload_responses_are_distinguished_from_other_errors() -> None:
     async def body() -> None:
         answers = [
             b"HTTP/1.1 503 Busy\r\nRetry-After: 3\r\nContent-Length: 0\r\n\r\n",
@@ -268,10 +303,10 @@
 
         async with Peer(script) as peer:
             connection = HttpConnection(peer.address)
-            for after in (3.0, 0.0):
+            for retry_after in (3.0, 0.0):
                 with pytest.raises(BusyError) as busy:
                     await connection.get("/api/targets")
-                assert busy.value.retry_after == after
+                assert busy.value.retry_after == retry_after
             with pytest.raises(HttpError) as other:
                 await connection.get("/api/targets")
             assert not isinstance(other.value, BusyError)
@@ -280,7 +315,7 @@
     run(body())
 
 
-def test_ingresses_that_fail_together_do_not_come_back_together(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_ingresses_that_fail_together_retry_at_different_times(monkeypatch: pytest.MonkeyPatch) -> None:
     slept: list[list[float]] = []
 
     async def sleep(seconds: float) -> None:
@@ -296,7 +331,7 @@
         monkeypatch.setattr(HttpConnection, "get", fails)
         for seed in range(20):
             slept.append([])
-            discovery = asker(random.Random(seed))
+            discovery = make_client(random.Random(seed))
             with pytest.raises(asyncio.CancelledError):
                 await discovery._watch(HttpConnection(HERE))
             assert discovery.version == 41
@@ -308,30 +343,30 @@
         assert module.MAX_PAUSE_S / 2 <= pauses[-1] <= module.MAX_PAUSE_S * 1.5
 
 
-def test_a_silent_agent_is_not_waited_for_without_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_unanswered_calls_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "POLL_TIMEOUT_S", 0.05)
     monkeypatch.setattr(module, "WATCH_WAIT_MS", 10)
     monkeypatch.setattr(module, "WATCH_GRACE_S", 0.05)
 
     async def body() -> None:
-        agent = Agent(None, listing(1, True, entry(HERE)), None, listing(2, True, entry(HERE)))
-        told = await watch(agent, 5)
-        assert [found.version for _, found in told] == [1, 2]
+        service = ScriptedDiscovery(None, listing(1, True, entry(HERE)), None, listing(2, True, entry(HERE)))
+        updates = await watch(service, 5)
+        assert [endpoint_list.version for _, endpoint_list in updates] == [1, 2]
 
     run(body())
 
 
-def test_the_process_outlives_a_fault_in_what_is_told() -> None:
+def test_failing_update_handler_does_not_end_the_watch() -> None:
     async def body() -> None:
-        agent = Agent(listing(1, True, entry(HERE)), listing(2, True, entry(HERE)))
+        service = ScriptedDiscovery(listing(1, True, entry(HERE)), listing(2, True, entry(HERE)))
 
-        def told(kind: EndpointListKind, found: EndpointList) -> None:
-            raise RuntimeError("a fault")
+        def on_update(kind: EndpointListKind, endpoint_list: EndpointList) -> None:
+            raise RuntimeError("failure of the handler")
 
-        async with agent.peer:
-            client = DiscoveryClient(agent.peer.address, told, None, random.Random(1), time.time)
+        async with service.peer:
+            client = DiscoveryClient(service.peer.address, on_update, None, random.Random(1), time.time)
             task = asyncio.create_task(client.run())
-            await until(lambda: len(agent.asked) >= 3)
+            await until(lambda: len(service.requests) >= 3)
             assert not task.done()
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
@@ -354,11 +389,11 @@
         {"weight": -1},
     ],
 )
-def test_a_malformed_entry_is_skipped_and_logged(change: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
-    rows = [entry(HERE) | change, entry(HERE, "s2"), 5]
+def test_malformed_entry_is_skipped_and_logged(change: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
+    entries = [entry(HERE) | change, entry(HERE, "s2"), 5]
     with caplog.at_level(logging.WARNING):
-        found = read_endpoint_list({"version": 1, "full": True, "servers": rows})
-    assert [b.id for b in found.endpoints] == ["s2"]
+        endpoint_list = read_endpoint_list({"version": 1, "full": True, "servers": entries})
+    assert [endpoint.id for endpoint in endpoint_list.endpoints] == ["s2"]
     assert len(caplog.records) == 2
 
 
@@ -372,148 +407,160 @@
 
 DRAINING = entry(HERE, "s2", "draining")
 BUSY = sized(b"", b"Retry-After: 60", status=b"503 Busy")
-SPOILT = sized(b"", status=b"500 No")
+SERVER_ERROR = sized(b"", status=b"500 No")
+
 
+class FailingDiscovery:
+    """A discovery service that answers the first call, then fails, and then answers with a change at once.
 
-class Failing:
-    """Answers the first call, fails the next ones as told, and from then on has news and gives it at once.  `since`:
-    when the last call that failed was asked or, where it was answered, was answered: from then on it could be reached.
+    A failure is the data that is written, and what happens to the connection: it is reset, closed, goes silent, or
+    stays open.
 
-    A failure is what is written, and whether the connection then ends by a reset, an end, or stays silent."""
+    Attributes:
+        reachable_since: The time of the last failing call: when it was received or, if answered, answered.
+    """
 
     def __init__(self, *failures: tuple[bytes, str]) -> None:
-        self.failures, self.since, self.answered = [(sized(listing(41, True, entry(HERE))), "on"), *failures], 0.0, 0
+        self.failures = [(sized(listing(41, True, entry(HERE))), "on"), *failures]
+        self.reachable_since = 0.0
+        self.answered = 0
         self.peer = Peer(self.script)
 
     async def script(self, _: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
             if self.answered < len(self.failures):
-                data, then = self.failures[self.answered]
+                data, action = self.failures[self.answered]
                 self.answered += 1
-                self.since = time.monotonic()
+                self.reachable_since = time.monotonic()
                 writer.write(data)
                 await writer.drain()
-                if then == "silent":
+                if action == "silent":
                     await asyncio.sleep(100.0)
-                elif then == "reset":
+                elif action == "reset":
                     reset(writer)
                     return
-                elif then == "end":
+                elif action == "end":
                     return
             else:
-                watch = b"after=" in head
-                writer.write(sized(listing(42, False, DRAINING) if watch else listing(42, True, DRAINING)))
-                await asyncio.sleep(100.0)  # nothing is newer
+                is_watch = b"after=" in head
+                writer.write(sized(listing(42, False, DRAINING) if is_watch else listing(42, True, DRAINING)))
+                await asyncio.sleep(100.0)  # no further change
 
 
 def reset(writer: Writer) -> None:
-    """Ends a connection in mid-air."""
+    """Reset a connection instead of closing it."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-HALF = http(listing(42, True, entry(HERE))[:-30], b"Content-Length: 9999")
-ENDLESS = http(listing(42, True, entry(HERE, "s9"))[:-20])  # no length: the end of the connection ends it
+TRUNCATED = http(listing(42, True, entry(HERE))[:-30], b"Content-Length: 9999")
+WITHOUT_LENGTH = http(listing(42, True, entry(HERE, "s9"))[:-20])  # without a length the body ends with the connection
 
 
 @pytest.mark.parametrize(
     "failures",
     [
-        pytest.param([(b"", "silent")], id="a watch falls silent"),
-        pytest.param([(SPOILT, "on")] * 5 + [(b"", "silent")], id="a call is lost after the pauses have grown"),
-        pytest.param([(HALF, "silent")], id="silence in mid-body"),
-        pytest.param([(HALF, "reset")], id="half a list and a reset"),
-        pytest.param([(ENDLESS, "reset")], id="no length and a reset"),
-        pytest.param([(ENDLESS, "silent")], id="no length and silence"),
-        pytest.param([(ENDLESS, "end")], id="no length and cut off"),
+        pytest.param([(b"", "silent")], id="a watch gets no answer"),
+        pytest.param(
+            [(SERVER_ERROR, "on")] * 5 + [(b"", "silent")], id="a call gets no answer after the pauses have grown"
+        ),
+        pytest.param([(TRUNCATED, "silent")], id="silence within a body"),
+        pytest.param([(TRUNCATED, "reset")], id="truncated list and a reset"),
+        pytest.param([(WITHOUT_LENGTH, "reset")], id="no length and a reset"),
+        pytest.param([(WITHOUT_LENGTH, "silent")], id="no length and silence"),
+        pytest.param([(WITHOUT_LENGTH, "end")], id="no length and truncated"),
         pytest.param([(b"", "reset")] * 8, id="resets"),
-        pytest.param([(BUSY, "on")], id="busy once, come back in a minute"),
+        pytest.param([(BUSY, "on")], id="busy once with a Retry-After of a minute"),
         pytest.param([(BUSY, "on")] * 2, id="busy twice"),
     ],
 )
-def test_a_change_is_told_within_six_seconds_of_when_discovery_could_be_reached(
-    failures: list[tuple[bytes, str]],
-) -> None:
+def test_change_is_applied_within_six_seconds_after_discovery_is_reachable(failures: list[tuple[bytes, str]]) -> None:
     async def body() -> None:
-        agent, told = Failing(*failures), list[tuple[float, int, list[str]]]()
+        service = FailingDiscovery(*failures)
+        updates: list[tuple[float, int, list[str]]] = []
 
-        def hear(kind: EndpointListKind, found: EndpointList) -> None:
-            told.append((time.monotonic(), found.version, [b.id for b in found.endpoints]))
+        def on_update(kind: EndpointListKind, endpoint_list: EndpointList) -> None:
+            updates.append(
+                (time.monotonic(), endpoint_list.version, [endpoint.id for endpoint in endpoint_list.endpoints])
+            )
 
-        async with agent.peer:
+        async with service.peer:
             task = asyncio.create_task(
                 DiscoveryClient(
-                    agent.peer.address, hear, None, random.Random(1), time.time, module.MIN_PAUSE_S * 40
+                    service.peer.address, on_update, None, random.Random(1), time.time, module.MIN_PAUSE_S * 40
                 ).run()
             )
-            await until(lambda: len(told) >= 2)
+            await until(lambda: len(updates) >= 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        assert agent.answered == len(failures) + 1
-        assert told[1][0] - agent.since < TOLD_WITHIN
-        assert [(version, names) for _, version, names in told] == [(41, ["s1"]), (42, ["s2"])]
+        assert service.answered == len(failures) + 1
+        assert updates[1][0] - service.reachable_since < APPLY_DEADLINE_S
+        assert [(version, names) for _, version, names in updates] == [(41, ["s1"]), (42, ["s2"])]
 
     run(body())
 
 
-@pytest.mark.parametrize("failure", [(b"", "silent"), (HALF, "silent"), (HALF, "reset"), (b"", "reset")])
-def test_after_a_reload_the_list_is_there_in_time_though_the_first_call_is_lost(failure: tuple[bytes, str]) -> None:
-    """It counts as told 4 s after the signal."""
+@pytest.mark.parametrize("failure", [(b"", "silent"), (TRUNCATED, "silent"), (TRUNCATED, "reset"), (b"", "reset")])
+def test_list_is_applied_in_time_after_a_reload_although_the_first_call_is_lost(failure: tuple[bytes, str]) -> None:
+    """The list must be applied within 4 s after the reload."""
 
     async def body() -> None:
-        old, new, told = Agent(listing(41, True, entry(HERE))), Failing(failure), list[tuple[float, int]]()
+        old = ScriptedDiscovery(listing(41, True, entry(HERE)))
+        new = FailingDiscovery(failure)
+        updates: list[tuple[float, int]] = []
         new.failures.pop(0)
         async with old.peer, new.peer:
             discovery = DiscoveryClient(
                 old.peer.address,
-                lambda kind, found: told.append((time.monotonic(), found.version)),
+                lambda kind, endpoint_list: updates.append((time.monotonic(), endpoint_list.version)),
                 None,
                 random.Random(1),
                 time.time,
             )
             task = asyncio.create_task(discovery.run())
-            await until(lambda: len(old.asked) == 2)
-            moved = time.monotonic()
-            discovery.change_address(("127.0.0.1", 1))  # two moves in a row: the last one holds
+            await until(lambda: len(old.requests) == 2)
+            moved_at = time.monotonic()
+            discovery.change_address(("127.0.0.1", 1))  # of two consecutive moves the last one counts
             discovery.change_address(new.peer.address)
-            await until(lambda: len(told) == 2)
+            await until(lambda: len(updates) == 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        assert told[1][1] == 42 and told[1][0] - moved < RELOADED_WITHIN
+        assert updates[1][1] == 42 and updates[1][0] - moved_at < RELOAD_DEADLINE_S
 
     run(body())
 
 
-def test_an_answer_that_comes_twice_is_read_once() -> None:
+def test_duplicate_response_is_read_once() -> None:
     async def body() -> None:
         first = sized(listing(41, True, entry(HERE)))
-        agent, told = Failing((sized(listing(41, False)) * 2, "on")), list[int]()
-        agent.failures[0] = first * 2, "on"
-        async with agent.peer:
+        service = FailingDiscovery((sized(listing(41, False)) * 2, "on"))
+        updates: list[int] = []
+        service.failures[0] = first * 2, "on"
+        async with service.peer:
             task = asyncio.create_task(
                 DiscoveryClient(
-                    agent.peer.address,
-                    lambda kind, found: told.append(found.version),
+                    service.peer.address,
+                    lambda kind, endpoint_list: updates.append(endpoint_list.version),
                     None,
                     random.Random(1),
                     time.time,
                 ).run()
             )
-            await until(lambda: len(told) == 2)
+            await until(lambda: len(updates) == 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
-        assert told == [41, 42] and agent.peer.connections == 3
+        assert updates == [41, 42] and service.peer.connections == 3
 
     run(body())
 
 
-def test_a_watch_waits_longer_while_discovery_has_no_room_and_soon_shorter_again() -> None:
+def test_wait_of_a_watch_shrinks_again_after_overload() -> None:
     async def body() -> None:
-        agent = Agent(listing(41, True, entry(HERE)))
-        discovery = asker(random.Random(1))
-        async with agent.peer:
-            connection = HttpConnection(agent.peer.address)
+        service = ScriptedDiscovery(listing(41, True, entry(HERE)))
+        discovery = make_client(random.Random(1))
+        async with service.peer:
+            connection = HttpConnection(service.peer.address)
             discovery.wait_ms = 20_000.0
             await discovery._poll(connection)
             assert discovery.wait_ms == 20_000 * module.WAIT_DECAY_FACTOR
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -1,4 +1,4 @@
-"""Health on real sockets: probes, failures of this process's own, answers that can't be read."""
+"""Health checks on real sockets: their outcomes, failures of this process itself, and malformed load reports."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     run,
     until,
 )
-from tests.test_net_backends import Pool
+from tests.test_net_backends import PoolUnderTest
 from tests.test_net_control import SECOND
 from tests.test_net_figures import figures
 from tests.test_net_ingress import Stub, serving
@@ -57,7 +57,7 @@
         (b"", Outcome.TIMEOUT),
     ],
 )
-def test_what_a_probe_tells(answer: bytes, outcome: Outcome) -> None:
+def test_outcome_of_each_kind_of_health_check_reply(answer: bytes, outcome: Outcome) -> None:
     async def body() -> None:
         async with backend(answer) as peer, serving(config(entry(peer.address))) as (served, _):
             stub = Stub(lambda event: [StartHealthCheck("s1", 0.2)] if isinstance(event, TimerFired) else [])
@@ -67,12 +67,13 @@
             [ended] = stub.of(HealthCheckEnded)
             assert (ended.endpoint_id, ended.outcome) == ("s1", outcome)
             assert peer.commands == [[b"PING"]]
-            assert served.metrics.attempts_sent == 0 and not served.requests.attempts_in_flight  # it is no request's
+            # A check belongs to no request.
+            assert served.metrics.attempts_sent == 0 and not served.requests.attempts_in_flight
 
     run(body())
 
 
-def test_a_probe_of_a_dead_backend_or_of_one_that_left_ends_too() -> None:
+def test_health_check_of_an_unreachable_or_removed_endpoint_fails_to_connect() -> None:
     async def body() -> None:
         async with serving(config(entry(("127.0.0.1", 1)))) as (served, _):
             stub = Stub(
@@ -88,9 +89,9 @@
     run(body())
 
 
-def test_a_server_that_fails_requests_is_ejected_and_comes_back_through_a_probe_and_a_trial() -> None:
-    """The real module, real sockets: one of four answers errors for a while."""
-    sick = asyncio.Event()
+def test_failing_endpoint_is_ejected_and_recovers_through_a_health_check_and_probation() -> None:
+    """Runs the real decision module on real sockets: one of four endpoints answers with errors for a while."""
+    is_failing = asyncio.Event()
     pings = 0
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -101,22 +102,22 @@
                 pings += 1
                 writer.write(b"+PONG\r\n")
             else:
-                writer.write(b"-ERR failed\r\n" if sick.is_set() else b"*1\r\n$1\r\nx\r\n")
+                writer.write(b"-ERR failed\r\n" if is_failing.is_set() else b"*1\r\n$1\r\nx\r\n")
 
     async def body() -> None:
-        async with backend() as peer, Peer(script) as bad:
-            rows = [entry(peer.address, f"s{n}") for n in range(3)] + [entry(bad.address, "bad")]
-            async with serving(config(*rows, control=SECOND, settings=PROBING)) as (served, address):
+        async with backend() as peer, Peer(script) as failing:
+            entries = [entry(peer.address, f"s{n}") for n in range(3)] + [entry(failing.address, "bad")]
+            async with serving(config(*entries, control=SECOND, settings=PROBING)) as (served, address):
                 caller = await Caller.to(address)
                 health = served.gateway.cluster.endpoints.by_id["bad"].health
-                sick.set()
+                is_failing.set()
                 while not served.gateway.health()["ejections"]:
                     await caller.ask(command())
                 shown = await figures(served)
                 assert shown["health.ejected"] == shown["ejected"] == 1
                 assert shown["ejections.error"] == 1 and shown["health.healthy"] == 3
-                sick.clear()
-                health.next_health_check_at = 0.0  # this gateway's time to probe has come
+                is_failing.clear()
+                health.next_health_check_at = 0.0  # the next health check is due now
                 while health.status.value != "healthy":
                     await caller.ask(command())
                     await asyncio.sleep(0.002)
@@ -127,53 +128,53 @@
     run(body())
 
 
-def test_no_descriptor_left_is_no_fault_of_the_server() -> None:
+def test_exhausted_descriptors_are_a_local_failure() -> None:
     async def body() -> None:
         async with backend() as peer:
-            pool = Pool(peer.address)
+            pool = PoolUnderTest(peer.address)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             resource.setrlimit(resource.RLIMIT_NOFILE, (256, hard))
             with contextlib.ExitStack() as held:
                 with contextlib.suppress(OSError):
-                    while True:  # until none is left
+                    while True:  # until no descriptor is left
                         held.enter_context(open(os.devnull, "rb"))
                 attempt = pool.send()
-                await until(lambda: pool.ends)
+                await until(lambda: pool.results)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            assert pool.ends[0][1] is Outcome.CONNECT_FAILED and attempt.local_failure
-            assert pool.pool.connection_count == 0  # nothing is left behind
+            assert pool.results[0][1] is Outcome.CONNECT_FAILED and attempt.local_failure
+            assert pool.pool.connection_count == 0  # the failed connect released its slot
             pool.send()
-            assert (await pool.end(2))[0] is Outcome.OK
+            assert (await pool.result(2))[0] is Outcome.OK
 
     run(body())
 
 
-def test_more_attempts_than_connections_are_allowed_is_our_own_matter() -> None:
+def test_exceeding_the_connection_limit_is_a_local_failure() -> None:
     async def body() -> None:
         async with backend(b"") as peer:
-            pool = Pool(peer.address, most=1)
+            pool = PoolUnderTest(peer.address, max_connections=1)
             pool.send()
             await until(lambda: peer.commands)
             attempt = pool.send()
-            assert pool.ends == [(1, Outcome.CONNECT_FAILED, None)] and attempt.local_failure
+            assert pool.results == [(1, Outcome.CONNECT_FAILED, None)] and attempt.local_failure
 
     run(body())
 
 
-def test_a_refused_connection_is_the_servers() -> None:
+def test_refused_connection_is_not_a_local_failure() -> None:
     async def body() -> None:
         with socket.socket() as unused:
             unused.bind(("127.0.0.1", 0))
             address: Address = unused.getsockname()
-            pool = Pool(address)
+            pool = PoolUnderTest(address)
             attempt = pool.send()
-            assert (await pool.end())[0] is Outcome.CONNECT_FAILED
+            assert (await pool.result())[0] is Outcome.CONNECT_FAILED
             assert not attempt.local_failure
 
     run(body())
 
 
-def test_the_module_is_told_whose_fault_it_was() -> None:
+def test_gateway_receives_the_local_failure_flag() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             stub = Stub(lambda e: [StartAttempt(e.request_id, "s1")] if isinstance(e, RequestReceived) else [])
@@ -188,8 +189,8 @@
     run(body())
 
 
-def test_an_answer_that_nothing_asked_for_is_never_passed_on() -> None:
-    """A server that answers one request twice: the second answer must not become the next request's."""
+def test_unsolicited_reply_is_never_forwarded() -> None:
+    """An endpoint answers a request twice: the second reply must not become the reply to the next request."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
@@ -207,7 +208,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "odd"),
+    ("text", "is_invalid"),
     [
         (b"inflight=7,util=0.5", False),
         (b"inflight=x,util=0.5", True),
@@ -221,29 +222,29 @@
         (None, False),
     ],
 )
-def test_a_load_report_that_makes_no_sense_reaches_the_module_as_such(text: bytes | None, odd: bool) -> None:
+def test_malformed_load_report_is_counted_as_invalid(text: bytes | None, is_invalid: bool) -> None:
     settings = replace(Play().gateway.settings, load_report_fields=("inflight", "util"))
     outliers = Play(settings).gateway.cluster.outliers
     result = interpret_response([b"value", None, text])
     load = result.load_report
     assert (result.outcome, result.value) == (Outcome.OK, b"value") and len(load) <= 20
     outliers.check_load_report(load)
-    assert outliers.invalid_load_reports == odd
+    assert outliers.invalid_load_reports == is_invalid
 
 
-def test_an_error_line_without_a_report_has_none() -> None:
+def test_load_report_of_an_error_reply() -> None:
     assert parse_load_report(None) == {}
-    assert read_words(b"-ERR failed") == {} and read_words(b"-BUSY") == {}
-    assert read_words(b"-BUSY inflight=3,queue=1") == {"inflight": 3.0, "queue": 1.0}
+    assert load_report_of(b"-ERR failed") == {} and load_report_of(b"-BUSY") == {}
+    assert load_report_of(b"-BUSY inflight=3,queue=1") == {"inflight": 3.0, "queue": 1.0}
 
 
-def read_words(line: bytes) -> Mapping[str, float]:
+def load_report_of(line: bytes) -> Mapping[str, float]:
     reader = hiredis.Reader()
     reader.feed(line + b"\r\n")
     return interpret_response(reader.gets()).load_report
 
 
-def test_the_state_of_the_form_before_is_understood() -> None:
+def test_handover_state_of_the_previous_format_is_read() -> None:
     old = {
         "born": 1.0,
         "draining": False,
@@ -257,7 +258,7 @@
     assert state == EndpointState("b0", 4.0, True, 0.1, 1.5, 0.5, None)
 
 
-def test_a_probe_that_failed_here_is_not_told() -> None:
+def test_locally_failed_health_check_is_not_reported() -> None:
     async def body() -> None:
         async with serving(config(entry(("127.0.0.1", 1)))) as (served, _):
             stub = Stub(None)
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -1,4 +1,4 @@
-"""The connection to the agent: however an answer is cut or ends."""
+"""The HTTP connection to the discovery service: split, truncated and invalid responses."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 
 
-def agent(*answers: list[bytes]) -> Peer:
-    """Gives one answer after another, in pieces; an empty piece ends the connection."""
-    left = list(answers)
+def service(*responses: list[bytes]) -> Peer:
+    """Return a service that sends these responses in turn, in pieces; an empty piece closes the connection."""
+    remaining = list(responses)
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
-            for piece in left.pop(0):
+            for piece in remaining.pop(0):
                 if not piece:
                     return
                 writer.write(piece)
@@ -38,9 +38,9 @@
         [OK + b"Connection: close\r\n\r\nbo", b"dy", b""],
     ],
 )
-def test_a_body_is_read_however_it_is_sent(pieces: list[bytes]) -> None:
+def test_body_is_read_in_every_framing(pieces: list[bytes]) -> None:
     async def body() -> None:
-        async with agent(pieces, pieces) as peer:
+        async with service(pieces, pieces) as peer:
             connection = HttpConnection(peer.address)
             assert await connection.get("/x") == b"body"
             assert await connection.get("/x") == b"body"
@@ -61,11 +61,11 @@
         [b""],
     ],
 )
-def test_what_is_no_answer_is_told(pieces: list[bytes], monkeypatch: pytest.MonkeyPatch) -> None:
+def test_invalid_response_raises_an_error(pieces: list[bytes], monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http, "MAX_BODY_BYTES", 50)
 
     async def body() -> None:
-        async with agent(pieces) as peer:
+        async with service(pieces) as peer:
             connection = HttpConnection(peer.address)
             with pytest.raises((HttpError, OSError)):
                 await connection.get("/x")
@@ -74,11 +74,11 @@
     run(body())
 
 
-def test_a_connection_that_was_closed_between_two_calls_is_replaced() -> None:
-    good = OK + b"Content-Length: 4\r\n\r\nbody"
+def test_connection_closed_between_two_calls_is_replaced() -> None:
+    valid_response = OK + b"Content-Length: 4\r\n\r\nbody"
 
     async def body() -> None:
-        async with agent([good, b""], [good]) as peer:
+        async with service([valid_response, b""], [valid_response]) as peer:
             connection = HttpConnection(peer.address)
             assert await connection.get("/x") == b"body"
             assert await connection.get("/x") == b"body"
--- a/tests/test_net_tls.py
+++ b/tests/test_net_tls.py
@@ -1,4 +1,4 @@
-"""TLS on both sides, on real sockets: who is let in, who is believed, and changes of certificates."""
+"""TLS on both sides, on real sockets: client and endpoint authentication, and changes of certificates."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     until,
     value,
 )
-from tests.test_net_backends import Pool
+from tests.test_net_backends import PoolUnderTest
 from tests.test_net_ingress import serving
 from tests.test_net_restart import free_port
 
@@ -60,7 +60,7 @@
 
 
 class SecurePeer(Peer):
-    """A schedule server behind TLS, which answers each command with its id."""
+    """An endpoint behind TLS that answers each command with its id, or with `answer`."""
 
     def __init__(self, pair: Pair, answer: bytes | None = None) -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -79,7 +79,7 @@
         return self
 
 
-def test_clients_and_servers_speak_tls_and_sessions_are_resumed(authority: Authority) -> None:
+def test_both_sides_use_tls_and_resume_sessions(authority: Authority) -> None:
     async def body() -> None:
         server, listener = authority.sign("s1"), authority.sign("ingress")
         async with (
@@ -99,15 +99,15 @@
             await until(lambda: not served.pool.connection_count)
             assert await first.ask(command("1" * 16)) == b"1" * 16
             assert peer.connections == 2
-            assert served.pool.connector.resumed_sessions == 1  # the second handshake was short
-            known = first.writer.get_extra_info("ssl_object").session
-            sock = await asyncio.to_thread(again, address, context, known)
-            assert sock  # and so is that of a client that comes back
+            assert served.pool.connector.resumed_sessions == 1  # the second handshake resumed the session
+            session = first.writer.get_extra_info("ssl_object").session
+            is_resumed = await asyncio.to_thread(reconnect, address, context, session)
+            assert is_resumed  # so does the handshake of a client that reconnects
 
     run(body())
 
 
-def again(address: Address, context: ssl.SSLContext, session: ssl.SSLSession) -> bool:
+def reconnect(address: Address, context: ssl.SSLContext, session: ssl.SSLSession) -> bool:
     with (
         socket.create_connection(address) as plain,
         context.wrap_socket(plain, server_hostname="127.0.0.1", session=session) as sock,
@@ -117,7 +117,7 @@
         return bool(sock.session_reused)
 
 
-def test_long_values_pass_both_ways_through_tls(authority: Authority) -> None:
+def test_long_values_are_forwarded_over_tls_in_both_directions(authority: Authority) -> None:
     async def body() -> None:
         pair = authority.sign("both")
         async with (
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("data", [PING, b"\x16\x03\x01\x00\x05hello", b"", b"\x16" * 100_000])
-def test_what_is_not_tls_gets_a_close_and_holds_no_place(
+def test_client_without_tls_is_closed_and_releases_its_connection(
     authority: Authority, data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("ingress.server.client_server.TLS_HANDSHAKE_TIMEOUT", 0.2)
@@ -155,7 +155,7 @@
     run(body())
 
 
-def test_a_listener_that_asks_for_certificates_serves_only_those_who_have_one(authority: Authority) -> None:
+def test_listener_with_an_authority_serves_only_clients_with_a_certificate(authority: Authority) -> None:
     async def body() -> None:
         stranger = Authority(authority.folder.parent / "other", "stranger")
         tls = authority.sign("ingress").spec(ca=str(authority.path))
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize("fault", ["authority", "name", "expired", "plain"])
-def test_a_server_that_is_not_who_it_says_gets_no_request(authority: Authority, fault: str) -> None:
+def test_endpoint_that_fails_authentication_gets_no_request(authority: Authority, fault: str) -> None:
     async def body() -> None:
         signer = Authority(authority.folder.parent / "other") if fault == "authority" else authority
         pair = signer.sign("s1", begins=-9.0, ends=-1.0) if fault == "expired" else signer.sign("s1")
@@ -182,18 +182,18 @@
                 peer.server.close()
                 peer.server = await asyncio.start_server(peer._serve, "127.0.0.1", 0)
                 peer.address = peer.server.sockets[0].getsockname()
-            pool = Pool(peer.address, timeout=0.5)
+            pool = PoolUnderTest(peer.address, timeout=0.5)
             spec = {"ca": str(authority.path)} | ({"name": "another"} if fault == "name" else {})
             pool.pool.connector.tls = read_tls(spec, "server-tls", False)
             pool.send()
-            assert await pool.end() == (Outcome.CONNECT_FAILED, None)  # it never ran
+            assert await pool.result() == (Outcome.CONNECT_FAILED, None)  # the request was not sent
             await until(lambda: not pool.pool.connection_count)
             assert not peer.commands
 
     run(body())
 
 
-def test_every_fault_of_certificates_is_named_with_its_key(authority: Authority, tmp_path: Path) -> None:
+def test_certificate_errors_name_the_configuration_key(authority: Authority, tmp_path: Path) -> None:
     good, other = authority.sign("good"), authority.sign("other")
     broken, old, early = tmp_path / "broken", authority.sign("old", -9, -1), authority.sign("early", 1, 9)
     broken.write_text("-----BEGIN CERTIFICATE-----\nnonsense\n-----END CERTIFICATE-----\n", encoding="utf-8")
@@ -212,16 +212,16 @@
         ({"server-tls": {"ca": str(authority.path), "key": str(good.key)}}, "server-tls: certificate and key"),
         ({"server-tls": {}}, "server-tls.ca: missing"),
     ]
-    for changes, told in cases:
+    for changes, expected_error in cases:
         with pytest.raises(ConfigError) as error:
             read_config(config_text(**changes))
-        assert error.value.faults and error.value.faults[0].startswith(told), error.value.faults
+        assert error.value.faults and error.value.faults[0].startswith(expected_error), error.value.faults
 
 
-def test_a_certificate_renewed_under_its_name_is_a_change_and_a_broken_one_changes_nothing(
+def test_reload_applies_a_renewed_certificate_and_rejects_a_mismatched_one(
     authority: Authority, tmp_path: Path
 ) -> None:
-    """A real process and SIGHUP."""
+    """Runs a real process and reloads its configuration with SIGHUP."""
     pair, port = authority.sign("ingress"), free_port()
     path = tmp_path / "config.json"
     path.write_text(config_text(listen=f"127.0.0.1:{port}", tls=pair.spec()), encoding="utf-8")
@@ -237,7 +237,7 @@
         )
         assert process.stderr is not None
 
-        async def said(text: str) -> None:
+        async def logged(text: str) -> None:
             assert process.stderr is not None
             while text not in (line := (await process.stderr.readline()).decode()):
                 assert line, "the process has ended"
@@ -250,21 +250,21 @@
             return int(found["serialNumber"], 16)
 
         try:
-            await said("serves on")
+            await logged("serves on")
             context = trusting(authority)
             first = await serial(context)
-            stays = await secure(("127.0.0.1", port), context)
+            open_connection = await secure(("127.0.0.1", port), context)
             renewed = Authority.sign(authority, "renewed")
-            # The key and the certificate are written one after the other: between them they don't fit.
+            # The key is replaced before the certificate: in between they don't match.
             shutil.copy(renewed.key, pair.key)
             process.send_signal(signal.SIGHUP)
-            await said("reload: tls.key: does not belong")
+            await logged("reload: tls.key: does not belong")
             assert await serial(context) == first
             shutil.copy(renewed.certificate, pair.certificate)
             process.send_signal(signal.SIGHUP)
-            await said("reload: generation 2")
+            await logged("reload: generation 2")
             assert await serial(context) != first
-            assert await stays.ask(PING) == b"PONG"  # what is connected stays
+            assert await open_connection.ask(PING) == b"PONG"  # open connections stay open
         finally:
             process.kill()
             await process.wait()
@@ -272,32 +272,32 @@
     run(body())
 
 
-def test_a_certificate_swapped_within_a_handshake_ends_neither_it_nor_the_next(authority: Authority) -> None:
+def test_certificate_change_during_a_handshake_breaks_neither_it_nor_the_next(authority: Authority) -> None:
     async def body() -> None:
         old, new = authority.sign("old"), authority.sign("new")
         text = config_text(tls=old.spec())
         async with serving(read_config(text)) as (served, address):
             context = trusting(authority)
-            into, out = ssl.MemoryBIO(), ssl.MemoryBIO()
-            half = context.wrap_bio(into, out, server_hostname="127.0.0.1")
+            incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
+            client = context.wrap_bio(incoming, outgoing, server_hostname="127.0.0.1")
             with pytest.raises(ssl.SSLWantReadError):
-                half.do_handshake()
-            hello = out.read()
+                client.do_handshake()
+            client_hello = outgoing.read()
             reader, writer = await asyncio.open_connection(*address)
-            writer.write(hello[:20])
+            writer.write(client_hello[:20])
             await until(lambda: served.clients.connections)
             listen = f"127.0.0.1:{served.config.listen[1]}"
             assert await served.changes.change(read_config(config_text(tls=new.spec(), listen=listen)), "reload") == ""
-            writer.write(hello[20:])
+            writer.write(client_hello[20:])
             while True:
-                into.write(await reader.read(1 << 16))
+                incoming.write(await reader.read(1 << 16))
                 try:
-                    half.do_handshake()
+                    client.do_handshake()
                     break
                 except ssl.SSLWantReadError:
-                    writer.write(out.read())
-            writer.write(out.read())
-            assert half.getpeercert()["subject"] == ((("commonName", "old"),),)  # type: ignore[index]
+                    writer.write(outgoing.read())
+            writer.write(outgoing.read())
+            assert client.getpeercert()["subject"] == ((("commonName", "old"),),)  # type: ignore[index]
             fresh = await secure(address, context)
             assert fresh.writer.get_extra_info("peercert")["subject"] == ((("commonName", "new"),),)
 
