--- a/ingress/protocols/response_reader.py
+++ b/ingress/protocols/response_reader.py
@@ -13,7 +13,7 @@
 MAX_ELEMENTS = 64  # limit for one response, which has three elements, and some more in its load report
 INCOMPLETE = object()  # returned instead of a response that is not complete yet
 HEADER = re.compile(rb"\*([1-9]\d?)\r\n\$(\d{1,10})\r\n")  # matches a response that begins with a bulk string
-PARTIAL_HEADER = re.compile(rb"(\*([1-9](\d?(\r(\n(\$(\d{0,10}\r?)?)?)?)?)?)?)?")
+PARTIAL_HEADER = re.compile(rb"(\*([1-9](\d?(\r(\n(\$(\d{0,10}\r?)?)?)?)?)?)?)?")  # matches a prefix of HEADER
 
 
 class ResponseReader:
@@ -23,7 +23,7 @@
     it, and the response then begins with an empty value.
 
     Attributes:
-        partial_header: The received part of a response's header; None once the header is complete.
+        partial_header: The received part of a response's header; None once it has been processed.
         value_size: The size of the current long value; 0 if there is none.
         value_bytes_left: The bytes of the long value and its line end that are still to come.
         value_tail: The last received bytes of the long value and its line end.
--- a/ingress/runtime/memory_budget.py
+++ b/ingress/runtime/memory_budget.py
@@ -5,8 +5,8 @@
 USABLE_RATIO = 0.8  # the usable part of the limit: allocators hold more memory than is in use
 PROCESS_BASE_BYTES = 20 << 20  # the memory of a process without requests
 MIN_CAPACITY_BYTES = 2 << 20  # granted even if the limit leaves less
-MAX_STREAM_WINDOW = 64 << 10  # in bytes
-MIN_STREAM_WINDOW = 2 << 10  # in bytes
+MAX_STREAM_WINDOW = 64 << 10  # the largest window of a streamed value in bytes
+MIN_STREAM_WINDOW = 2 << 10  # the smallest window in bytes, used when memory is short
 WINDOWS_PER_STREAM = 2
 
 
--- a/ingress/runtime/memory_monitor.py
+++ b/ingress/runtime/memory_monitor.py
@@ -7,7 +7,7 @@
 from ingress.runtime.logs import INGRESS_LOG
 from ingress.runtime.memory_budget import MemoryBudget
 
-CHECK_INTERVAL = 0.2  # in seconds
+CHECK_INTERVAL = 0.2  # seconds between two checks while the limit is exceeded
 
 
 class MemoryMonitor:
