--- a/ingress/discovery/client.py
+++ b/ingress/discovery/client.py
@@ -202,6 +202,10 @@
             connection.close()
 
     def _record_failure(self, error: Exception, failures: int) -> None:
+        """Log a failure, and adapt the next call to it.
+
+        A malformed body or a failed update causes a request for a complete list; overload lengthens the wait.
+        """
         if failures in LOGGED_FAILURE_COUNTS:
             log.warning("discovery: the poll of %s:%s failed: %s: %s", *self.address, type(error).__name__, error)
         if not isinstance(error, OSError | HttpError):  # a TimeoutError is an OSError
--- a/ingress/discovery/http.py
+++ b/ingress/discovery/http.py
@@ -50,9 +50,11 @@
         self.retry_after = 0.0
 
     def on_message_begin(self) -> None:
+        """Detect a second response."""
         self.has_unexpected_response = self.is_complete
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Evaluate the headers about the body length and the retry time."""
         if self.has_unexpected_response:
             return
         lower_name = name.lower()
@@ -61,13 +63,16 @@
             self.retry_after = float(value)
 
     def on_headers_complete(self) -> None:
+        """Record that the headers are complete."""
         self.has_headers = True
 
     def on_body(self, data: bytes) -> None:
+        """Collect a part of the body."""
         if not self.has_unexpected_response:
             self.body += data
 
     def on_message_complete(self) -> None:
+        """Record that the response is complete, and whether the connection may be reused."""
         if self.has_unexpected_response:
             return
         self.is_complete = True
