--- a/ingress/configuration/document.py
+++ b/ingress/configuration/document.py
@@ -17,7 +17,7 @@
 from ingress.decisions.settings import Settings
 from ingress.discovery.client import EndpointList, read_endpoint_list
 from ingress.errors import IngressError
-from ingress.runtime.descriptors import allowed
+from ingress.runtime.descriptors import usable_sockets
 from ingress.runtime.files import UnreadableFileError, read_text
 from ingress.runtime.sockets import MAX_PORT, Address
 
@@ -153,7 +153,7 @@
     settings = _read_settings(source["settings"])
     limits = source["settings"]["limits"]
     process_limits = source["limits"]
-    sockets = allowed(process_limits.get("sockets", DEFAULT_SOCKETS))
+    sockets = usable_sockets(process_limits.get("sockets", DEFAULT_SOCKETS))
     max_connections = _max_connections(sockets)
     document = {key: value for key, value in source.items() if key not in UNVERSIONED_KEYS}
     canonical = json.dumps(document, sort_keys=True).encode()
--- a/ingress/runtime/descriptors.py
+++ b/ingress/runtime/descriptors.py
@@ -5,7 +5,7 @@
 import resource
 
 
-def allowed(sockets: int) -> int:
+def usable_sockets(sockets: int) -> int:
     """Return how many of the configured sockets the descriptor limit of the system allows.
 
     Handles a limit below the configured number (1,024 is common), with which clients would use up all descriptors and
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -274,7 +274,7 @@
     few_descriptors: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It assumes more descriptors than the system has left, as when the system itself runs out (ENFILE)."""
-    monkeypatch.setattr("ingress.configuration.document.allowed", lambda sockets: sockets)
+    monkeypatch.setattr("ingress.configuration.document.usable_sockets", lambda sockets: sockets)
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
