--- a/ingress/__init__.py
+++ b/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Admission decisions for gateways of a service sold by plan."""
+"""An ingress gateway that admits, routes and retries requests to a service whose quotas depend on plans."""
--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -1,4 +1,8 @@
-"""The ingress program: `python -m ingress` serves by the file that EDGE_CONFIG names, `check FILE` checks one."""
+"""The ingress program.
+
+`python -m ingress` serves with the configuration file that EDGE_CONFIG names, and `python -m ingress check FILE`
+validates a configuration file.
+"""
 
 from __future__ import annotations
 
@@ -18,12 +22,12 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-EXIT_USAGE = 2  # of the arguments, the environment or the configuration
-SCHEDULER_PAUSE = 0.001  # s
+EXIT_USAGE = 2  # Invalid arguments, environment or configuration.
+SCHEDULER_PAUSE = 0.001  # Seconds to sleep before the listening socket is opened, see `serve`.
 
 
 async def follow(path: str, ingress: Ingress, reload: asyncio.Event) -> None:
-    """Changes to the configuration in the file each time that `reload` is set; a rejected one changes nothing."""
+    """Reload the configuration file each time `reload` is set; a rejected configuration changes nothing."""
     while True:
         await reload.wait()
         reload.clear()
@@ -33,33 +37,35 @@
         except ConfigError as error:
             ingress.changes.reject("reload", str(error))
         except Exception as error:
-            # Guards later reloads against a fault in this one.
+            # An unexpected fault in this reload must not prevent later ones.
             ingress.changes.reject("reload", f"{type(error).__name__}: {error}")
 
 
 async def serve(
     config: Config, path: str, received_handover: ReceivedHandover | None, early_signals: list[int]
 ) -> None:
-    """Serves until SIGTERM or SIGINT; SIGHUP reloads the configuration.
+    """Serve until SIGTERM or SIGINT; SIGHUP reloads the configuration.
 
     Args:
         config: The configuration to start with.
-        path: Its file.
-        received_handover: What the predecessor process has handed over, if there is one.
-        early_signals: SIGHUPs that came before the event loop ran.
+        path: The path of the configuration file.
+        received_handover: The handover from the predecessor process, if there is one.
+        early_signals: The SIGHUPs received before the event loop was running.
     """
     stop = asyncio.Event()
     reload = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    # Not by the loop: when it closes it restores the default handler, which would end the process.
+    # Not set with `add_signal_handler`: when the event loop closes it would restore the default handler, which ends the
+    # process.
     signal.signal(signal.SIGHUP, lambda *_: loop.call_soon_threadsafe(reload.set))
     if early_signals:
-        reload.set()  # the file may have been read before it was changed
+        reload.set()  # The file may have been changed after it was read.
     if received_handover is None:
-        # A process that has used more than its share of the core is not scheduled next. Clients that connected
-        # meanwhile would wait, so the listening socket is opened after that.
+        # During start-up this process may have used more than its share of the CPU core, and the scheduler then runs
+        # other processes next. This happens before the listening socket is opened, since clients that connected
+        # meanwhile would have to wait.
         await asyncio.sleep(SCHEDULER_PAUSE)
     ingress = Ingress(config, received_handover=received_handover, path=socket_path(config.listen))
     reload_task = loop.create_task(follow(path, ingress, reload))
@@ -71,7 +77,7 @@
 
 
 def check(path: str) -> int:
-    """Prints every fault of a configuration file, or its unknown keys; returns the exit status."""
+    """Print every fault in a configuration file, or its unknown keys; return the exit status."""
     try:
         config = load_config(path)
     except ConfigError as error:
@@ -84,9 +90,9 @@
 
 
 def run() -> int:
-    """Serves by the environment; returns the exit status."""
+    """Serve with the configuration file that the environment names; return the exit status."""
     early_signals: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))  # the default ends the process
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))  # The default action ends the process.
     path = os.environ.get("EDGE_CONFIG", "")
     if not path:
         return _fail(["EDGE_CONFIG: not set"], EXIT_USAGE)
@@ -111,7 +117,7 @@
 
 
 def main() -> int:
-    """Runs the command line; returns the exit status."""
+    """Run the command line; return the exit status."""
     match sys.argv[1:]:
         case ["check", path]:
             return check(path)
--- a/ingress/action_performer.py
+++ b/ingress/action_performer.py
@@ -1,4 +1,4 @@
-"""Performs the actions that the decisions return on the parts of a process."""
+"""Performs the actions of the `Gateway` on the components of a process."""
 
 from __future__ import annotations
 
@@ -36,21 +36,21 @@
 
 
 class UsageSharer(Protocol):
-    """Shares the usage of quotas with the other processes of the ingress."""
+    """Shares quota usage with the other processes of the group."""
 
     def usage_spent(self, usage: QuotaUsage) -> None:
-        """Sends what this process has spent."""
+        """Send the usage that this process has spent."""
 
 
 class UsageRecorder(Protocol):
-    """Writes the usage of quotas to the checkpoint."""
+    """Records quota usage in the checkpoint."""
 
     def record_usage(self, usage: QuotaUsage) -> None:
-        """Adds to the log of the checkpoint."""
+        """Append the usage to the log of the checkpoint."""
 
 
 class PerformerParts(Struct, frozen=True):
-    """The parts on which actions are performed; `usage_recorder` is None without a checkpoint."""
+    """The components on which actions are performed; `usage_recorder` is None without a checkpoint."""
 
     name: str
     runner: GatewayRunner
@@ -65,7 +65,7 @@
 
 
 class ActionPerformer:
-    """Performs actions; what these sockets can't do is logged once for each kind of action."""
+    """Performs actions; each kind of unsupported action is logged once."""
 
     def __init__(self, parts: PerformerParts) -> None:
         self.parts = parts
@@ -73,7 +73,7 @@
         self.unsupported: set[str] = set()
 
     def perform(self, action: Action) -> None:
-        """Performs one action."""
+        """Perform one action."""
         match action:
             case StartAttempt():
                 self.parts.requests.start_attempt(action)
@@ -91,7 +91,7 @@
                 self._perform_rare(action)
 
     def _perform_rare(self, action: Action) -> None:
-        """Performs the actions that do not come with each request."""
+        """Perform an action of a kind that does not occur with each request."""
         match action:
             case AddToCounter(name=name, add=add, lifetime=lifetime) if self.parts.counter.client is not None:
                 self.parts.counter.client.call(name, add, lifetime)
@@ -106,7 +106,7 @@
             case CloseIdleClients(enabled=enabled):
                 self._close_idle_clients(enabled)
             case WatchEndpoints() | FetchEndpoints():
-                pass  # discovery is always watched
+                pass  # The discovery client always watches the list.
             case _:
                 self._log_unsupported(action)
 
@@ -118,7 +118,7 @@
 
     def _set_readiness(self, ready: bool) -> None:
         self.parts.clients.is_ready = ready
-        INGRESS_LOG.info("%s %s", self.parts.name, "takes requests" if ready else "drains")
+        INGRESS_LOG.info("%s %s", self.parts.name, "is ready for requests" if ready else "is draining")
 
     def _close_idle_clients(self, enabled: bool) -> None:
         self.parts.clients.set_draining(enabled)
@@ -131,4 +131,4 @@
         kind = type(action).__name__
         if kind not in self.unsupported:
             self.unsupported.add(kind)
-            INGRESS_LOG.warning("%s is not possible on these sockets", kind)
+            INGRESS_LOG.warning("unsupported action %s ignored", kind)
--- a/ingress/admin/__init__.py
+++ b/ingress/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The second address, for operators: its connections and the commands that they send."""
+"""The admin server: the second address, at which operators and the load balancer send commands."""
--- a/ingress/admin/admin_commands.py
+++ b/ingress/admin/admin_commands.py
@@ -1,4 +1,4 @@
-"""The commands at the admin address, and the answers that operators and the load balancer get to them."""
+"""The commands of the admin server and their answers to operators and the load balancer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from ingress.runtime.metrics import Metrics
 
 SECONDS_PER_DAY = 86_400
-LAST_LINE = "eof"  # of an answer of several lines
+LAST_LINE = "eof"  # The last line of an answer with several lines.
 STOPPING = "fail ending"
 UNKNOWN_COMMAND = "fail unknown call"
 
@@ -26,7 +26,7 @@
 
 
 class AdminCommand(Enum):
-    """A command; its value is the line that is sent."""
+    """An admin command; its value is the line that the client sends."""
 
     READY = "ready"
     SHOW_METRICS = "show-stat"
@@ -38,59 +38,74 @@
 
 
 class GroupView(Protocol):
-    """What the commands need of the process group."""
+    """The part of the process group that the commands use.
+
+    Attributes:
+        ledger: Counts the messages on quota usage.
+    """
 
     ledger: UsageLedger
 
     @property
     def membership(self) -> Membership | None:
-        """The members known here; None where the process serves alone."""
+        """The membership as this process knows it; None if the process serves alone."""
 
     @property
     def links(self) -> PeerLinks | None:
-        """The connections to the other processes."""
+        """The connections to the other processes; None if the process serves alone."""
 
     def drain_all(self, enabled: bool) -> None:
-        """Starts or ends a drain in all processes."""
+        """Start or end a drain in all processes."""
 
 
 class EndpointCounts(Protocol):
-    """What the commands need of the connection pool."""
+    """The part of the connection pool that the commands use."""
 
     def listed_count(self) -> int:
-        """The number of endpoints that discovery lists."""
+        """Return the number of endpoints that discovery lists."""
 
 
 class AdminTargets(Struct, frozen=True):
-    """The parts of the ingress that the commands read or change."""
+    """The components of the process that the commands read or change.
+
+    Attributes:
+        changes: The configuration changes.
+        group: The process group.
+        metrics: The metrics of requests.
+        metrics_sources: The sources of further metrics, in the order of their lines in `show-stat`.
+        endpoints: The counts of endpoints.
+        avoided_count: Returns the number of endpoints that receive no requests at a given time of the clock.
+        is_stopping: Returns whether the process is shutting down.
+        clock: Returns Unix time in seconds.
+    """
 
     changes: ConfigChanges
     group: GroupView
     metrics: Metrics
-    metrics_sources: tuple[MetricsSource, ...]  # in the order of their lines in `show-stat`
+    metrics_sources: tuple[MetricsSource, ...]
     endpoints: EndpointCounts
-    avoided_count: Callable[[float], int]  # at a time of the clock: endpoints that get no requests
+    avoided_count: Callable[[float], int]
     is_stopping: Callable[[], bool]
     clock: Clock
 
 
 class AdminCommands:
-    """Answers each command from the state of the parts of the ingress."""
+    """Answers admin commands from the state of the components of the process."""
 
     def __init__(self, targets: AdminTargets) -> None:
         self.targets = targets
 
     def answer(self, line: str) -> str | Awaitable[str]:
-        """Returns the answer to one line; that of a command in which other processes take part comes later."""
+        """Return the answer to one line, or an awaitable for a command in which other processes take part."""
         try:
             command = AdminCommand(line)
         except ValueError:
             return UNKNOWN_COMMAND
         if command is AdminCommand.REVERT:
             return self.targets.changes.revert()
-        return self._answer_now(command)
+        return self._answer_at_once(command)
 
-    def _answer_now(self, command: AdminCommand) -> str:
+    def _answer_at_once(self, command: AdminCommand) -> str:
         match command:
             case AdminCommand.READY:
                 return STOPPING if self.targets.is_stopping() else "ok"
@@ -103,10 +118,10 @@
             case _:
                 return self._set_draining(command is AdminCommand.DRAIN)
 
-    def _set_draining(self, on: bool) -> str:
+    def _set_draining(self, enabled: bool) -> str:
         if self.targets.is_stopping():
             return STOPPING
-        self.targets.group.drain_all(on)
+        self.targets.group.drain_all(enabled)
         return "ok"
 
     def _show_metrics(self) -> str:
@@ -125,12 +140,12 @@
 
 
 def tls_metrics(config: Config, now: float, resumed_sessions: int) -> dict[str, int]:
-    """Returns the days until certificates expire, rounded down, and the count of resumed sessions.
+    """Return the days until certificates expire, rounded down, and the number of resumed sessions.
 
     Args:
         config: The active configuration.
         now: Unix time in seconds.
-        resumed_sessions: TLS sessions with endpoints that were resumed since the start.
+        resumed_sessions: The number of TLS sessions with endpoints that were resumed since the start.
     """
     values = {}
     for name, tls in (("listener", config.client_tls), ("servers", config.endpoint_tls)):
--- a/ingress/admin/admin_server.py
+++ b/ingress/admin/admin_server.py
@@ -1,4 +1,4 @@
-"""The admin address: each connection carries one line, a command, and gets one answer."""
+"""The admin server: each connection sends one line with a command and receives one answer."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 16  # one more closes the oldest
+MAX_CONNECTIONS = 16  # Each further connection closes the oldest.
 MAX_COMMAND_BYTES = 256
-COMMAND_TIMEOUT = 5.0  # s from the connection on
-SWEEP_INTERVAL = 1.0  # s between checks for connections that have timed out
+COMMAND_TIMEOUT = 5.0  # Seconds after which a connection is closed.
+SWEEP_INTERVAL = 1.0  # Seconds between checks for connections that have timed out.
 BACKLOG = 64
 INTERNAL_ERROR = "fail internal error"
 
@@ -23,7 +23,15 @@
 
 
 class AdminConnection(asyncio.Protocol):
-    """One connection of an operator or of the load balancer."""
+    """One connection of an operator or of the load balancer.
+
+    Attributes:
+        server: The admin server.
+        opened_at: The time at which the connection was accepted.
+        partial_line: The received bytes of a line that is incomplete.
+        has_command: Whether the line is complete; input after it is ignored.
+        transport: The transport; None before the connection is established.
+    """
 
     def __init__(self, server: AdminServer) -> None:
         self.server = server
@@ -33,12 +41,12 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers with the server."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has a class of its own
+        """Register the connection with the server."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has transport classes of its own.
         self.server.add(self)
 
     def data_received(self, data: bytes) -> None:
-        """Collects the first line and has it answered; whatever follows it is not read."""
+        """Collect the first line and answer it; input after it is ignored."""
         if self.transport is None or self.transport.is_closing() or self.has_command:
             return
         line, newline, _ = (self.partial_line + data).partition(b"\n")
@@ -53,33 +61,44 @@
             self.server.send_later(self, answer)
 
     def send(self, answer: str) -> None:
-        """Sends the answer and closes the sending side.
+        """Send the answer and close the sending side.
 
-        Guards against a reset, which would take the answer with it: closing both sides over bytes that arrive behind
-        the command causes one. The peer closes its side, or the sweep does.
+        Closing both sides when bytes arrive after the command would cause a reset, which can destroy the answer. The
+        peer closes its side, or the sweep closes the connection.
         """
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(answer.encode() + b"\n")
             self.transport.write_eof()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Leaves the server."""
+        """Remove the connection from the server."""
         self.server.connections.pop(self, None)
 
     def close(self) -> None:
-        """Closes both sides."""
+        """Close both sides."""
         if self.transport is not None:
             self.transport.close()
 
 
 class AdminServer:
-    """The listener of the admin address; `handle_command` answers a line."""
+    """Listens on the admin address and answers commands.
+
+    Attributes:
+        loop: The event loop.
+        handle_command: Returns the answer to a line.
+        clock: Returns the current time in seconds.
+        connections: The open connections, oldest first; the values are unused.
+        answer_tasks: The tasks that send answers which depend on other processes.
+        server: The asyncio server; None before `open`.
+        sweep_timer: The timer of the next sweep.
+        listening_socket: The listening socket.
+    """
 
     def __init__(self, address: tuple[str, int], handle_command: CommandHandler, clock: Clock) -> None:
         self.loop = asyncio.get_running_loop()
         self.handle_command = handle_command
         self.clock = clock
-        self.connections: dict[AdminConnection, None] = {}  # the oldest first
+        self.connections: dict[AdminConnection, None] = {}
         self.answer_tasks: set[asyncio.Task[None]] = set()
         self.server: asyncio.Server | None = None
         self.sweep_timer: asyncio.TimerHandle | None = None
@@ -88,28 +107,28 @@
         self.listening_socket.bind(address)
 
     async def open(self) -> None:
-        """Starts to accept connections."""
+        """Start to accept connections."""
         self.server = await self.loop.create_server(
             lambda: AdminConnection(self), sock=self.listening_socket, backlog=BACKLOG
         )
         self._sweep()
 
     def add(self, connection: AdminConnection) -> None:
-        """Registers a connection; one too many closes the oldest."""
+        """Register a connection; above the limit, the oldest one is closed."""
         self.connections[connection] = None
         if len(self.connections) > MAX_CONNECTIONS:
             next(iter(self.connections)).close()
 
     def answer(self, line: str) -> str | Awaitable[str]:
-        """Returns the answer to a command; a fault in one command must not end the process."""
+        """Return the answer to a command; a fault in one command must not end the process."""
         try:
             return self.handle_command(line)
         except Exception:
-            log.exception("the call %.40r failed", line)
+            log.exception("admin command %.40r failed", line)
             return INTERNAL_ERROR
 
     def send_later(self, connection: AdminConnection, answer: Awaitable[str]) -> None:
-        """Sends an answer that depends on other processes once it is there."""
+        """Send an answer that depends on other processes once it is available."""
         task = self.loop.create_task(self._send_when_ready(connection, answer))
         self.answer_tasks.add(task)
         task.add_done_callback(self.answer_tasks.discard)
@@ -118,7 +137,7 @@
         try:
             text = await answer
         except Exception:
-            log.exception("a call failed")
+            log.exception("admin command failed while waiting for other processes")
             text = INTERNAL_ERROR
         connection.send(text)
 
@@ -130,7 +149,7 @@
                 connection.close()
 
     def close(self) -> None:
-        """Stops to accept, and closes all connections."""
+        """Stop accepting, and close all connections."""
         if self.sweep_timer is not None:
             self.sweep_timer.cancel()
         if self.server is not None:
--- a/ingress/errors.py
+++ b/ingress/errors.py
@@ -1,5 +1,5 @@
-"""The base class of the errors that this package raises on purpose."""
+"""The base class of the exceptions that this package raises deliberately."""
 
 
 class IngressError(Exception):
-    """Something that was given to the program can't be used; the text says what and why."""
+    """Input that the program can't use; the message says what it is and why."""
--- a/ingress/gateway_runner.py
+++ b/ingress/gateway_runner.py
@@ -1,4 +1,4 @@
-"""Runs the decisions of a process: events go to the `Gateway` one at a time, and its actions are performed."""
+"""Runs the decisions of a process: passes events to the `Gateway` one at a time and performs its actions."""
 
 from __future__ import annotations
 
@@ -14,9 +14,15 @@
 
 
 class GatewayRunner:
-    """The queue of events before the `Gateway`, which is not re-entrant.
+    """Queues events for the `Gateway`, which is not re-entrant.
 
-    `requests` and `perform` are set once the parts that need `feed` for their construction are there.
+    Attributes:
+        requests: The requests in flight; set after construction, because the handler needs `feed`.
+        perform: Performs an action; set after construction, because its components need `feed`.
+        gateway: Decides on the events.
+        clock: Returns Unix time in seconds.
+        queue: The events that wait, each with its time or None.
+        is_handling: Whether an event is being handled.
     """
 
     requests: RequestHandler
@@ -29,11 +35,11 @@
         self.is_handling = False
 
     def feed(self, event: Event, at: float | None = None) -> None:
-        """Has an event handled now, or after the one that is being handled.
+        """Handle an event now, or after the events that are already queued.
 
         Args:
-            event: What has happened.
-            at: When it happened, by the clock of the process; None stands for now.
+            event: The event.
+            at: The time of the event by the clock of the process; None means the time at which it is handled.
         """
         self.queue.append((event, at))
         if self.is_handling:
@@ -50,8 +56,8 @@
         try:
             actions = self.gateway.handle(self.clock() if at is None else at, event)
         except Exception:
-            # Guards the process and all other requests against a fault in the decisions: the actions decided so
-            # far, such as timers, are performed, and the request at hand is aborted.
+            # A fault in the decisions must not affect the process or other requests: the actions decided so far, such
+            # as timers, are performed, and only the request of this event is aborted.
             INGRESS_LOG.exception("the module failed on %s", type(event).__name__)
             actions = self.gateway.actions
             failed = True
@@ -65,10 +71,10 @@
             try:
                 self.perform(action)
             except Exception:
-                INGRESS_LOG.exception("%s failed", type(action).__name__)
+                INGRESS_LOG.exception("could not perform the action %s", type(action).__name__)
 
     def _finish(self, request_id: str, event: Event, failed: bool) -> None:
-        """Forgets a request after its last event, and aborts it after a fault."""
+        """Remove a request after its last event, or abort it after a fault."""
         request = self.requests.in_flight.get(request_id)
         if request is None:
             return
--- a/ingress/graceful_shutdown.py
+++ b/ingress/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The end of a process: every request in flight is answered before the earliest SIGKILL can come."""
+"""Graceful shutdown: every request in flight is answered before the earliest possible SIGKILL."""
 
 from __future__ import annotations
 
@@ -12,18 +12,25 @@
 from ingress.server.client_server import ClientServer
 from ingress.server.request_handler import RequestHandler
 
-SIGKILL_DELAY = 0.7  # s from SIGTERM to the earliest SIGKILL, beside the longest deadline
-MAX_DEADLINE = 3.0  # s: a longer deadline counts as this one in the time to SIGKILL
-ABORT_MARGIN = 0.25  # s before the earliest SIGKILL: what is then still in flight is aborted
-FLUSH_TIMEOUT = 0.1  # s for the last answers to be sent
-CONNECTION_POLL_INTERVAL = 0.02  # s
-FLUSH_POLL_INTERVAL = 0.01  # s
+# All times are in seconds.
+SIGKILL_DELAY = 0.7  # From SIGTERM to the earliest SIGKILL, in addition to the longest deadline of a request class.
+MAX_DEADLINE = 3.0  # A longer deadline counts as this one in the time to SIGKILL.
+ABORT_MARGIN = 0.25  # Requests still in flight are aborted this long before the earliest SIGKILL.
+FLUSH_TIMEOUT = 0.1  # For sending the last answers.
+CONNECTION_POLL_INTERVAL = 0.02  # Between checks for clients that have disconnected.
+FLUSH_POLL_INTERVAL = 0.01  # Between such checks while the last answers are sent.
 
 
 class GracefulShutdown:
-    """Drains the clients of a process that ends.
+    """Drains the clients of a process that shuts down.
 
-    `clients_may_close` is set and cleared by the decisions: clients may be disconnected as they fall idle.
+    Attributes:
+        name: The name of the process in the log.
+        clients: The server for clients.
+        requests: The requests in flight.
+        feed: Passes an event to the gateway.
+        clients_may_close: Set and cleared by the gateway's actions: idle clients may be disconnected.
+        is_stopping: Whether the shutdown has begun.
     """
 
     def __init__(self, name: str, clients: ClientServer, requests: RequestHandler, feed: Callable[[Event], None]):
@@ -35,7 +42,7 @@
         self.is_stopping = False
 
     async def drain(self, settings: Settings) -> None:
-        """Returns when all clients are served and disconnected, or time is up."""
+        """Drain the clients; return when all are served and disconnected, or when the time is up."""
         loop = asyncio.get_running_loop()
         longest_deadline = min(max(request_class.deadline for request_class in settings.classes), MAX_DEADLINE)
         abort_at = loop.time() + longest_deadline + SIGKILL_DELAY - ABORT_MARGIN
@@ -50,7 +57,7 @@
             self.requests.abort(request)
         self.clients.close()
         await self._wait_for_disconnects(loop.time() + FLUSH_TIMEOUT, FLUSH_POLL_INTERVAL)
-        INGRESS_LOG.info("%s ends", self.name)
+        INGRESS_LOG.info("%s has stopped serving", self.name)
 
     async def _wait_for_disconnects(self, until: float, interval: float) -> None:
         loop = asyncio.get_running_loop()
--- a/ingress/ingress.py
+++ b/ingress/ingress.py
@@ -1,4 +1,4 @@
-"""One process of the ingress: makes its parts, connects them, and runs its life cycle."""
+"""One ingress process: builds its components, connects them and runs its life cycle."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class Ingress:
-    """Owns the parts of one process. It decides nothing: that is the `Gateway`'s."""
+    """Owns the components of one process; all decisions are made by the `Gateway`."""
 
     def __init__(
         self,
@@ -49,13 +49,13 @@
         received_handover: ReceivedHandover | None = None,
         path: Path | None = None,
     ) -> None:
-        """Makes the parts and binds the listening sockets; `run` starts them.
+        """Create the components and bind the listening sockets; `run` starts them.
 
         Args:
             config: The configuration to start with.
             clock: Returns Unix time in seconds; the default never goes backwards.
-            received_handover: What the predecessor process has handed over.
-            path: The socket at which a successor process finds this one; without it there is none.
+            received_handover: The handover from the predecessor process, if there is one.
+            path: The path of the socket at which a successor process finds this one; without it there is no handover.
         """
         self.received_handover = received_handover
         self.clock = clock or unix_clock()
@@ -130,7 +130,10 @@
         )
 
     def _make_changes(self, config: Config) -> ConfigChanges:
-        """The process group is made after this and needs its agreement, so it is looked up at each call."""
+        """Create the configuration changes.
+
+        The process group is created later, because it needs their agreement; it is therefore looked up at each call.
+        """
         return ConfigChanges(
             config,
             self.applier,
@@ -139,7 +142,7 @@
         )
 
     def _local_process(self) -> LocalProcess:
-        """Returns the parts of this process that its group reads and controls."""
+        """Return the components of this process that its process group reads and controls."""
         return LocalProcess(
             name=self.config.name,
             clients=self.clients,
@@ -176,12 +179,12 @@
             self.checkpoint_writer.record_usage(usage)
 
     def endpoint_list(self) -> EndpointList:
-        """Returns the endpoints that are in use, and the addresses of those that can be reached."""
+        """Return the endpoints in use, with the addresses of the reachable ones."""
         endpoints = tuple(endpoint.info for endpoint in self.gateway.cluster.endpoints.by_id.values())
         return EndpointList(self.discovery.version or 0, True, endpoints, self.pool.addresses())
 
     def _handover_message(self) -> HandoverMessage:
-        """Returns the state for a process that takes over, without the part of the process group."""
+        """Return the state for a successor process, without the part that the process group adds."""
         return HandoverMessage(
             endpoint_list=self.endpoint_list(),
             state=self.gateway.handover_state(self.clock()),
@@ -189,7 +192,7 @@
         )
 
     def _connect_actions(self, config: Config) -> None:
-        """Connects the runner to the parts that were made with its `feed`."""
+        """Connect the runner to the components that were created with its `feed`."""
         parts = PerformerParts(
             name=config.name,
             runner=self.runner,
@@ -237,7 +240,7 @@
         return self.changes.config.settings
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serves until `stop` is set, then drains the clients and closes all parts."""
+        """Serve until `stop` is set, then drain the clients and close all components."""
         self._restore()
         self.clients.open()
         if self.admin_server is not None:
@@ -255,7 +258,7 @@
         await self._close()
 
     def _restore(self) -> None:
-        """Feeds what the checkpoint, the configuration and the predecessor process say of the state."""
+        """Restore the state from the checkpoint, the configuration and the handover of the predecessor process."""
         if self.received_handover is None:
             self.recovery.recover()
         initial_endpoints = self.config.initial_endpoints
@@ -281,7 +284,7 @@
         self.counter.close()
 
     def update_endpoints(self, kind: EndpointListKind, listing: EndpointList) -> None:
-        """Takes a list of endpoints, or changes of one, into use."""
+        """Apply a list of endpoints, or changes to the active list."""
         REQUESTS.info("list", extra={"fields": {"version": listing.version}})
         self.pool.update_endpoints(kind is not EndpointListKind.UPDATE, listing.endpoints, listing.addresses)
         self.feed(EndpointsChanged(kind, listing.endpoints, listing.version))
--- a/tests/test_net_signals.py
+++ b/tests/test_net_signals.py
@@ -210,7 +210,7 @@
             slow.writer.write(command("slow", d=1900))
             await until(lambda: peer.commands)
             program.process.send_signal(signal.SIGTERM)
-            await until(lambda: program.logged("n0 drains"))
+            await until(lambda: program.logged("n0 is draining"))
             program.process.send_signal(signal.SIGTERM)
             late = await Caller.to(program.address)  # new ones still come
             late.writer.write(command("late", d=1500))
@@ -227,7 +227,7 @@
     run(body())
 
 
-@pytest.mark.parametrize("since", ["n0 drains", "n0 ends"])
+@pytest.mark.parametrize("since", ["n0 is draining", "n0 has stopped serving"])
 def test_sighup_after_sigterm_never_ends_it(since: str, tmp_path: Path) -> None:
     """Again and again until it has exited: an ingress that ends on SIGHUP has crashed."""
 
@@ -244,7 +244,7 @@
                 sent += 1
                 await asyncio.sleep(0.001)
             assert await program.ended() == 0, f"{sent} times SIGHUP: {program.log[-3:]}"
-            assert program.logged("n0 ends")
+            assert program.logged("n0 has stopped serving")
             no_fault(program)
 
     run(body())
@@ -338,7 +338,7 @@
             for caller in callers:
                 assert await caller.ask(resp(b"SELECT", b"0")) == b"OK"
             program.process.send_signal(signal.SIGTERM)
-            await until(lambda: program.logged("n0 drains"))
+            await until(lambda: program.logged("n0 is draining"))
             program.process.send_signal(signal.SIGSTOP)
             for number, caller in enumerate(callers):
                 caller.writer.write(command(f"{number}", customer=number))
