--- a/tests/test_net_bad_peers.py
+++ b/tests/test_net_bad_peers.py
@@ -1,5 +1,8 @@
-"""Peers that break the rules, on real connections: clients that are broken, endless, flooding or silent, and servers
-whose answers are cut, spoilt, late, doubled or without an end."""
+"""Misbehaving peers on real connections.
+
+Clients send malformed, endless, excessive or no input; endpoints send truncated, malformed, late, duplicate or endless
+responses.
+"""
 
 from __future__ import annotations
 
@@ -39,18 +42,20 @@
 
 PAY = {"name": "pay", "aim-s": 1.0, "give-up-s": 2.0, "importance": 1.0, "semantics": "unsafe"}
 UNSAFE = SETTINGS | {"categories": [*SETTINGS["categories"], PAY]}
-IN_TIME = 3.0  # s from a peer's connecting to its error line or close
-LONG_IN_TIME = 6.0  # s, for one that has 60 MB to send
-MANY = 60_000_000  # bytes
-WORK = 0.03  # s that a server takes: longer than a copy is late
+REJECT_TIMEOUT_S = 3.0  # From the connect of a misbehaving client to its error line or the close.
+LARGE_REJECT_TIMEOUT_S = 6.0  # The same for a client that sends 60 MB.
+FLOOD_BYTES = 60_000_000
+SERVICE_TIME_S = 0.03  # Of the endpoint; longer than the delay of any duplicate response.
+
 
+# Duplicate responses
 
-# Answers that come twice
 
+def duplicating_endpoint(delay: float, refusal: bytes | None = None) -> tuple[Peer, Counter[bytes]]:
+    """Return an endpoint that repeats each response after `delay` seconds, and its count of executions per request.
 
-def doubling(late: float, refusal: bytes | None = None) -> tuple[Peer, Counter[bytes]]:
-    """A server that writes each answer again `late` seconds later, and how often it has run each request.  With a
-    `refusal` it gives that to every other command."""
+    With a `refusal`, the endpoint answers every other command with it.
+    """
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
@@ -59,44 +64,46 @@
             if refusal is not None and len(peer.commands) % 2:
                 answer = refusal
             else:
-                ran[words[2]] += 1
-                await asyncio.sleep(WORK)
+                executions[words[2]] += 1
+                await asyncio.sleep(SERVICE_TIME_S)
                 answer = value(words[2])
             writer.write(answer)
-            asyncio.get_running_loop().call_later(late, again, writer, answer)
+            asyncio.get_running_loop().call_later(delay, send_again, writer, answer)
 
-    def again(writer: Writer, answer: bytes) -> None:
+    def send_again(writer: Writer, answer: bytes) -> None:
         if not writer.is_closing():
             writer.write(answer)
 
-    peer, ran = Peer(script), Counter[bytes]()
-    return peer, ran
+    peer = Peer(script)
+    executions = Counter[bytes]()
+    return peer, executions
 
 
-@pytest.mark.parametrize("late", [0.0, 0.001, 0.005, 0.010])
-def test_a_copy_of_an_answer_is_never_the_answer_of_the_next_request(late: float, tmp_path: Path) -> None:
-    """No server made it for that request.  The next one is asked at once, while the copy is on its way."""
+@pytest.mark.parametrize("delay", [0.0, 0.001, 0.005, 0.010])
+def test_a_duplicate_response_is_never_the_answer_to_the_next_request(delay: float, tmp_path: Path) -> None:
+    """The next request is sent at once, while the duplicate of the previous response is still on its way."""
 
     async def body() -> None:
-        async with doubling(late)[0] as peer, launched(tmp_path, entry(peer.address)) as program:
+        async with duplicating_endpoint(delay)[0] as peer, launched(tmp_path, entry(peer.address)) as program:
             await program.ready()
             caller = await Caller.to(program.address)
-            found = [(b"%016x" % n, await caller.ask(command(f"{n:016x}"))) for n in range(20)]
-            wrong = [(asked, answer) for asked, answer in found if isinstance(answer, bytes) and answer != asked]
+            answers = [(b"%016x" % n, await caller.ask(command(f"{n:016x}"))) for n in range(20)]
+            wrong = [(asked, answer) for asked, answer in answers if isinstance(answer, bytes) and answer != asked]
             assert not wrong, f"{len(wrong)} of 20 requests: {wrong[:3]}"
-            assert sum(asked == answer for asked, answer in found) >= 10
+            assert sum(asked == answer for asked, answer in answers) >= 10
 
     run(body())
 
 
-@pytest.mark.parametrize("late", [0.001, 0.005, 0.010])
-def test_nor_of_one_that_waits_in_line(late: float, tmp_path: Path) -> None:
-    """Many requests at once: a connection that is given back goes to the one that has waited longest."""
+@pytest.mark.parametrize("delay", [0.001, 0.005, 0.010])
+def test_a_duplicate_response_is_never_the_answer_to_a_queued_request(delay: float, tmp_path: Path) -> None:
+    """Under many concurrent requests, a released connection goes to the request that has waited longest."""
 
     async def body() -> None:
-        async with doubling(late)[0] as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with duplicating_endpoint(delay)[0] as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            wrong, served = list[tuple[bytes, bytes]](), 0
+            wrong = list[tuple[bytes, bytes]]()
+            served = 0
 
             async def ask(number: int) -> None:
                 nonlocal served
@@ -115,31 +122,33 @@
     run(body())
 
 
-@pytest.mark.parametrize("late", [0.001, 0.005, 0.010])
-def test_a_copy_of_a_refusal_refuses_no_request_that_runs(late: float, tmp_path: Path) -> None:
-    """Taken for the next request's, it would say of one that runs that it never did."""
+@pytest.mark.parametrize("delay", [0.001, 0.005, 0.010])
+def test_a_duplicate_refusal_refuses_no_request_that_is_executed(delay: float, tmp_path: Path) -> None:
+    """Mistaken for the answer to the next request, it would report an executed request as not executed."""
 
     async def body() -> None:
-        peer, ran = doubling(late, b"-BUSY\r\n")
+        peer, executions = duplicating_endpoint(delay, b"-BUSY\r\n")
         async with peer, launched(tmp_path, entry(peer.address), settings=UNSAFE) as program:
             await program.ready()
             caller = await Caller.to(program.address)
-            found = [(b"%016x" % n, await caller.ask(command(f"{n:016x}", "pay"))) for n in range(30)]
-            refused = [asked for asked, answer in found if str(answer).startswith("BUSY")]
-            wrong = [asked for asked in refused if ran[asked]]
-            assert not wrong, f"{len(wrong)} of {len(refused)} that were refused had run: {wrong[:3]}"
-            assert max(ran.values()) == 1, ran
-            assert len(refused) < len(found)
+            answers = [(b"%016x" % n, await caller.ask(command(f"{n:016x}", "pay"))) for n in range(30)]
+            refused = [asked for asked, answer in answers if str(answer).startswith("BUSY")]
+            wrong = [asked for asked in refused if executions[asked]]
+            assert not wrong, f"{len(wrong)} of {len(refused)} refused requests were executed: {wrong[:3]}"
+            assert max(executions.values()) == 1, executions
+            assert len(refused) < len(answers)
 
     run(body())
 
 
-# Answers that are cut, spoilt, late or without an end
+# Truncated, malformed, late and endless responses
 
 
-def playing(*answers: bytes | None, then: str = "silence") -> Peer:
-    """Gives its answers one after another, whatever connection asks (None: its id), and after the last one `then`:
-    silence, the end of the connection, its reset, or data without an end."""
+def scripted_endpoint(*answers: bytes | None, then: str = "silence") -> Peer:
+    """Return an endpoint that gives the answers in order over all connections; None stands for the request's id.
+
+    After each answer that is not None, the connection behaves as `then` says: "silence", "end", "reset" or "endless".
+    """
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
@@ -210,36 +219,36 @@
         (b"-ERR failed\r\n", "silence"),
     ],
 )
-def test_a_spoilt_answer_fails_a_request_that_is_unsafe_to_repeat_after_one_attempt(answer: bytes, then: str) -> None:
+def test_a_malformed_response_fails_a_non_idempotent_request_after_one_attempt(answer: bytes, then: str) -> None:
     async def body() -> None:
         async with (
-            playing(*[answer] * 9, then=then) as peer,
+            scripted_endpoint(*[answer] * 9, then=then) as peer,
             serving(config(*fleet(peer), settings=UNSAFE)) as (served, address),
         ):
             caller = await Caller.to(address)
-            at = time.monotonic()
+            started_at = time.monotonic()
             caller.writer.write(command("one", "pay", d=400))
-            if answer.startswith(b"*3\r\n$70000\r\n"):  # the client sees that the value is not whole
+            if answer.startswith(b"*3\r\n$70000\r\n"):  # The client notices that the value is incomplete.
                 with pytest.raises((EOFError, ConnectionError, hiredis.ProtocolError)):
                     pytest.fail(f"served: {len(await caller.answer())} bytes")
             else:
                 assert str(await caller.answer()) == "ERR failed"
-            assert time.monotonic() - at < 1.5
+            assert time.monotonic() - started_at < 1.5
             await until(lambda: not served.requests.in_flight and not served.requests.attempts_in_flight)
             assert [words[2] for words in peer.commands] == [b"one"]
 
     run(body())
 
 
-@pytest.mark.parametrize("spoilt", [b"*0\r\n", b"+OK\r\n", b"$-1\r\n", b":1\r\n"])
-def test_what_follows_a_spoilt_answer_is_nobodys(spoilt: bytes, tmp_path: Path) -> None:
-    """A connection that is out of step is of no further use."""
+@pytest.mark.parametrize("malformed", [b"*0\r\n", b"+OK\r\n", b"$-1\r\n", b":1\r\n"])
+def test_data_after_a_malformed_response_answers_no_request(malformed: bytes, tmp_path: Path) -> None:
+    """The connection is out of sync and must not be used again."""
 
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             while True:
                 words = await read_command(reader)
-                writer.write(spoilt)
+                writer.write(malformed)
                 await asyncio.sleep(0.005)
                 writer.write(value(words[2]))
 
@@ -252,8 +261,8 @@
     run(body())
 
 
-def served(records: list[logging.LogRecord]) -> list[dict[str, Any]]:
-    """The fields of the log's line of each request that was served."""
+def success_log_fields(records: list[logging.LogRecord]) -> list[dict[str, Any]]:
+    """Return the fields of the log line of each successful request."""
     return [
         record.fields  # type: ignore[attr-defined]
         for record in records
@@ -261,13 +270,13 @@
     ]
 
 
-def attempts(records: list[logging.LogRecord]) -> list[int]:
-    """Of each request that was served."""
-    return [row["attempts"] for row in served(records)]
+def attempt_counts(records: list[logging.LogRecord]) -> list[int]:
+    """Return the number of attempts of each successful request."""
+    return [row["attempts"] for row in success_log_fields(records)]
 
 
 @pytest.mark.parametrize("repeat", [False, True])
-def test_the_line_of_a_request_tells_what_it_asked_of_its_quota(repeat: bool, caplog: pytest.LogCaptureFixture) -> None:
+def test_the_log_line_of_a_request_contains_its_quota_fields(repeat: bool, caplog: pytest.LogCaptureFixture) -> None:
     names = b"c=read,t=basic,d=2000,units=2.5,spread=3,first=1" + (b",r=1" if repeat else b"")
 
     async def body() -> None:
@@ -277,7 +286,7 @@
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
         run(body())
-    [row] = served(caplog.records)
+    [row] = success_log_fields(caplog.records)
     assert row.pop("ms") > 0
     assert row == {
         "id": "one",
@@ -294,24 +303,26 @@
 
 
 @pytest.mark.parametrize("refusal", [b"-BUSY\r\n", b"-BUSY inflight=7,queue=2\r\n"])
-def test_a_refusal_allows_another_attempt_of_a_request_that_is_unsafe_to_repeat(
+def test_a_refusal_allows_another_attempt_of_a_non_idempotent_request(
     refusal: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
-        async with playing(refusal) as peer, serving(config(*fleet(peer), settings=UNSAFE)) as (_, address):
+        async with scripted_endpoint(refusal) as peer, serving(config(*fleet(peer), settings=UNSAFE)) as (_, address):
             caller = await Caller.to(address)
             assert await caller.ask(command("one", "pay")) == b"one"
             assert [words[2] for words in peer.commands] == [b"one"] * 2
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
         run(body())
-    assert attempts(caplog.records) == [2]
+    assert attempt_counts(caplog.records) == [2]
 
 
-def test_so_does_a_connection_that_is_refused(caplog: pytest.LogCaptureFixture) -> None:
+def test_a_refused_connection_allows_another_attempt_of_a_non_idempotent_request(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     async def body() -> None:
         with socket.socket() as closed:
-            closed.bind(("127.0.0.1", 0))  # and never listens
+            closed.bind(("127.0.0.1", 0))  # Bound but not listening.
             async with (
                 backend() as peer,
                 serving(
@@ -328,11 +339,11 @@
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
         run(body())
-    assert max(attempts(caplog.records)) > 1
+    assert max(attempt_counts(caplog.records)) > 1
 
 
-def test_an_answer_that_comes_late_is_nobodys() -> None:
-    """Its client has been told that the request failed; the next one's answer is its own."""
+def test_a_late_response_answers_no_other_request() -> None:
+    """The client has already received a failure for that request; the next request must get its own answer."""
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
@@ -347,62 +358,72 @@
                     writer.write(value(words[2]))
 
         async with Peer(script) as peer, serving(config(entry(peer.address), settings=UNSAFE)) as (_, address):
-            caller, own = await Caller.to(address), 0
+            caller = await Caller.to(address)
+            own_answers = 0
             for n in range(3):
                 caller.writer.write(command("late", "pay", d=250))
                 assert isinstance(await caller.answer(), hiredis.ReplyError)
                 answer = await caller.ask(command(f"{n}", "pay"))
                 assert answer == b"%d" % n or str(answer).startswith("BUSY"), answer
-                own += answer == b"%d" % n
-            assert own
+                own_answers += answer == b"%d" % n
+            assert own_answers
 
     run(body())
 
 
-# Clients that break the rules
+# Misbehaving clients
 
 
-async def said(sock: socket.socket) -> bytes:
-    """The first bytes that come; b"" for a close."""
+async def first_bytes(sock: socket.socket) -> bytes:
+    """Return the first bytes received; b"" if the connection is closed."""
     try:
         return await asyncio.get_running_loop().sock_recv(sock, 4096)
     except ConnectionError:
         return b""
 
 
-async def told(
+async def time_to_reject(
     address: Address, data: bytes, repeat: int = 0, pause: float = 0.0, reads: bool = True, before: bytes = b""
 ) -> float:
-    """Sends as a peer that does not keep the rules; s until an error line or the close.  `repeat`: times that `data`
-    goes out beyond the first, all of them behind `before`; one that does not read finds the close as it sends."""
+    """Send as a misbehaving client; return the seconds until an error line or the close.
+
+    Args:
+        address: The address of the ingress.
+        data: The data to send.
+        repeat: How often `data` is sent again.
+        pause: The seconds after each time.
+        reads: Whether the client reads; one that does not notices the close when it sends.
+        before: The data to send before `data`.
+    """
     loop = asyncio.get_running_loop()
     with socket.socket() as sock:
         sock.setblocking(False)
-        at = time.monotonic()
+        started_at = time.monotonic()
         await loop.sock_connect(sock, address)
 
-        async def sends() -> None:
+        async def send_all() -> None:
             await loop.sock_sendall(sock, before)
             for _ in range(1 + repeat):
                 await loop.sock_sendall(sock, data)
                 if pause:
                     await asyncio.sleep(pause)
 
-        sending = loop.create_task(sends())
+        sending = loop.create_task(send_all())
         try:
             if reads:
-                first = await said(sock)
+                first = await first_bytes(sock)
                 assert not first or first.startswith(b"-"), first
             else:
                 await asyncio.wait({sending})
-                assert isinstance(sending.exception(), ConnectionError), "all was taken"
-            return time.monotonic() - at
+                assert isinstance(sending.exception(), ConnectionError), "all data was accepted"
+            return time.monotonic() - started_at
         finally:
             sending.cancel()
             await asyncio.gather(sending, return_exceptions=True)
 
 
-BROKEN: dict[str, tuple[bytes, int, float]] = {  # data, how often again, s between
+# For each malformed input: the data, how often it is repeated, and the seconds between.
+MALFORMED_INPUTS: dict[str, tuple[bytes, int, float]] = {
     "silent": (b"", 0, 0.0),
     "a byte": (b"*", 0, 0.0),
     "a head": (b"*4\r\n", 0, 0.0),
@@ -439,9 +460,10 @@
 LONG = (
     b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n%016x\r\n$2\r\naa\r\n$41\r\n" % 7
     + b"c=order,t=basic,d=2000,k=0123456789abcdef\r\n$%d\r\n"
-)  # a request up to its value
-MASSES: dict[str, tuple[bytes | tuple[bytes, bytes], bool]] = {  # what makes 60 MB; whether it reads
-    "one value": ((LONG % MANY, bytes(60_000)), True),
+)  # A request up to its body.
+# For each flood: the data that is repeated to make 60 MB, with what precedes it, and whether the client reads.
+FLOODS: dict[str, tuple[bytes | tuple[bytes, bytes], bool]] = {
+    "one value": ((LONG % FLOOD_BYTES, bytes(60_000)), True),
     "one word": ((b"*1\r\n$60000000\r\n", bytes(60_000)), True),
     "zeros": (bytes(60_000), True),
     "lines": (b"nonsense\r\n" * 6_000, True),
@@ -454,30 +476,36 @@
 }
 
 
-def test_a_broken_peer_gets_an_error_line_or_a_close_in_time_and_holds_up_nobody(tmp_path: Path) -> None:
-    """All of them at once, beside a client that asks on."""
+def test_malformed_input_gets_an_error_line_or_a_close_in_time_and_delays_no_other_client(tmp_path: Path) -> None:
+    """All malformed inputs are sent at once, alongside a client that sends requests all the time."""
 
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            over, asked, slowest = asyncio.Event(), 0, 0.0
+            over = asyncio.Event()
+            asked = 0
+            slowest = 0.0
 
             async def steady() -> None:
                 nonlocal asked, slowest
                 caller = await Caller.to(program.address)
                 while not over.is_set():
-                    at, asked = time.monotonic(), asked + 1
+                    sent_at = time.monotonic()
+                    asked += 1
                     assert await caller.ask(command(f"good{asked}")) == b"good%d" % asked
-                    slowest = max(slowest, time.monotonic() - at)
+                    slowest = max(slowest, time.monotonic() - sent_at)
                     await asyncio.sleep(0.02)
 
             asking = asyncio.create_task(steady())
             await until(lambda: asked)
-            took = dict(
+            times = dict(
                 zip(
-                    BROKEN,
+                    MALFORMED_INPUTS,
                     await asyncio.gather(
-                        *(asyncio.wait_for(told(program.address, *how), 8.0) for how in BROKEN.values()),
+                        *(
+                            asyncio.wait_for(time_to_reject(program.address, *how), 8.0)
+                            for how in MALFORMED_INPUTS.values()
+                        ),
                         return_exceptions=True,
                     ),
                     strict=True,
@@ -485,29 +513,32 @@
             )
             over.set()
             await asking
-            late = {name: one for name, one in took.items() if isinstance(one, BaseException) or one > IN_TIME}
+            late = {
+                name: one for name, one in times.items() if isinstance(one, BaseException) or one > REJECT_TIMEOUT_S
+            }
             assert not late
             assert slowest < 1.0
-            assert all(words[2].startswith(b"good") for words in peer.commands)  # none of them was served
+            assert all(words[2].startswith(b"good") for words in peer.commands)  # No malformed input was forwarded.
             no_fault(program)
 
     run(body())
 
 
-def test_so_does_one_that_has_60_mb_to_send(tmp_path: Path) -> None:
+def test_a_flood_of_60_mb_gets_an_error_line_or_a_close_in_time(tmp_path: Path) -> None:
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            took: dict[str, Any] = {}
-            for name, (data, reads) in MASSES.items():
+            times: dict[str, Any] = {}
+            for name, (data, reads) in FLOODS.items():
                 before, data = data if isinstance(data, tuple) else (b"", data)
-                [took[name]] = await asyncio.gather(
+                [times[name]] = await asyncio.gather(
                     asyncio.wait_for(
-                        told(program.address, data, MANY // len(data), reads=reads, before=before), LONG_IN_TIME
+                        time_to_reject(program.address, data, FLOOD_BYTES // len(data), reads=reads, before=before),
+                        LARGE_REJECT_TIMEOUT_S,
                     ),
                     return_exceptions=True,
                 )
-            assert not {name: one for name, one in took.items() if isinstance(one, BaseException)}
+            assert not {name: one for name, one in times.items() if isinstance(one, BaseException)}
             assert not peer.commands
             caller = await Caller.to(program.address)
             assert await caller.ask(command()) == b"00000000000000aa"
@@ -516,16 +547,16 @@
     run(body())
 
 
-def test_so_does_one_whose_long_value_comes_a_byte_at_a_time(tmp_path: Path) -> None:
-    """In the pages a value holds no more than 64 KiB, and one that never ends is no proper request."""
+def test_a_long_body_sent_a_byte_at_a_time_gets_an_error_line_or_a_close_in_time(tmp_path: Path) -> None:
+    """The specification limits a value to 64 KiB, and a request that never ends is malformed."""
 
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            took = await asyncio.wait_for(
-                told(program.address, b"x", 1 << 20, 0.3, before=LONG % 70_000), LONG_IN_TIME + 1
+            seconds = await asyncio.wait_for(
+                time_to_reject(program.address, b"x", 1 << 20, 0.3, before=LONG % 70_000), LARGE_REJECT_TIMEOUT_S + 1
             )
-            assert took < LONG_IN_TIME
+            assert seconds < LARGE_REJECT_TIMEOUT_S
 
     run(body())
 
@@ -533,24 +564,24 @@
 @pytest.mark.parametrize(
     "data", [b"*1\r\n$4\r\nPINGXX", command().replace(b"API.READ\r\n", b"API.READXX"), command()[:-2] + b"XX"]
 )
-def test_a_word_that_does_not_end_where_it_said_is_broken(data: bytes) -> None:
+def test_a_bulk_string_without_crlf_at_its_declared_size_is_malformed(data: bytes) -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(*fleet(peer))) as (_, address):
-            assert await told(address, data) < IN_TIME
+            assert await time_to_reject(address, data) < REJECT_TIMEOUT_S
             assert not peer.commands
 
     run(body())
 
 
-def test_so_does_each_of_more_silent_peers_than_there_are_places(tmp_path: Path) -> None:
+def test_more_silent_clients_than_the_connection_limit_are_each_closed_in_time(tmp_path: Path) -> None:
     async def body() -> None:
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
         async with backend() as peer, launched(tmp_path, *fleet(peer), limits=limits) as program:
             await program.ready()
             times = await asyncio.gather(
-                *(asyncio.wait_for(told(program.address, data), 8.0) for data in [b"", b"*4\r\n"] * 150)
+                *(asyncio.wait_for(time_to_reject(program.address, data), 8.0) for data in [b"", b"*4\r\n"] * 150)
             )
-            assert max(times) < IN_TIME
+            assert max(times) < REJECT_TIMEOUT_S
             caller = await Caller.to(program.address)
             assert await caller.ask(command()) == b"00000000000000aa"
 
@@ -572,8 +603,8 @@
         (b"c=read,", b"c=read,,"),
     ],
 )
-def test_a_request_that_is_not_proper_is_told_so_and_sent_to_no_server(change: tuple[bytes, bytes]) -> None:
-    """A server that gets a command in a form that no client sends voids the run."""
+def test_a_malformed_request_gets_an_error_and_is_sent_to_no_endpoint(change: tuple[bytes, bytes]) -> None:
+    """An endpoint that receives a command in a form that no client sends makes the whole run invalid."""
     old, new = change
     words: Any = [b"API.READ", b"%016x" % 7, b"aa", b"c=read,t=basic,d=2000,units=1,spread=1,first=0"]
     words = [word.replace(old, new) for word in words]
--- a/tests/test_net_control.py
+++ b/tests/test_net_control.py
@@ -1,4 +1,4 @@
-"""The second address: calls, silent callers, and the drain by call."""
+"""The admin server: commands, silent clients, and draining by command."""
 
 from __future__ import annotations
 
@@ -30,14 +30,16 @@
 SECOND = "127.0.0.1:0"
 
 
-def second(served: Ingress) -> Address:
+def admin_address(served: Ingress) -> Address:
+    """Return the address of the admin server."""
     assert served.admin_server is not None
     address: Address = served.admin_server.listening_socket.getsockname()
     return address
 
 
 async def call(served: Ingress, line: bytes) -> str:
-    reader, writer = await asyncio.open_connection(*second(served))
+    """Send one line to the admin server and return its answer."""
+    reader, writer = await asyncio.open_connection(*admin_address(served))
     writer.write(line + b"\n")
     answer = await reader.read()
     writer.close()
@@ -55,7 +57,7 @@
         (b"x" * 1000, "fail unknown call"),
     ],
 )
-def test_each_call_gets_one_line_and_the_connection_ends(line: bytes, answer: str) -> None:
+def test_each_command_gets_one_line_and_the_connection_is_closed(line: bytes, answer: str) -> None:
     async def body() -> None:
         async with serving(config(control=SECOND)) as (served, _):
             assert await call(served, line) == answer + "\n"
@@ -63,28 +65,29 @@
     run(body())
 
 
-def test_an_answer_is_not_lost_with_what_its_caller_sends_behind_the_call() -> None:
-    """It comes as the connection is closed: a close over it would reset the connection."""
+def test_an_answer_is_not_lost_when_its_client_sends_more_after_the_command() -> None:
+    """The input arrives as the connection is closed; closing over unread input would reset the connection."""
 
     async def body() -> None:
         async with serving(config(control=SECOND)) as (served, _):
-            loop, sock = asyncio.get_running_loop(), socket.create_connection(second(served))
+            loop = asyncio.get_running_loop()
+            sock = socket.create_connection(admin_address(served))
             sock.setblocking(False)
             sock.send(b"show-stat\n")
             assert served.admin_server is not None
             await until(lambda: any(caller.has_command for caller in served.admin_server.connections))  # type: ignore[union-attr]
             sock.send(b"x" * 1000)
-            found = b""
+            answer = b""
             while data := await loop.sock_recv(sock, 100):
-                found += data
-            assert found.endswith(b"eof\n")
+                answer += data
+            assert answer.endswith(b"eof\n")
             sock.close()
             await until(lambda: not served.admin_server.connections)  # type: ignore[union-attr]
 
     run(body())
 
 
-def test_without_a_second_address_there_is_none() -> None:
+def test_without_an_admin_address_there_is_no_admin_server() -> None:
     async def body() -> None:
         async with serving(config()) as (served, _):
             assert served.admin_server is None
@@ -92,41 +95,41 @@
     run(body())
 
 
-def test_the_environment_names_it_too(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_environment_can_set_the_admin_address(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setenv("EDGE_CONTROL", "127.0.0.1:7001")
     assert config().admin == ("127.0.0.1", 7001)
     assert config(control="127.0.0.1:7002").admin == ("127.0.0.1", 7002)
 
 
-def test_silent_callers_and_half_calls_hold_up_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_clients_and_incomplete_commands_do_not_block_others(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_server, "MAX_CONNECTIONS", 4)
 
     async def body() -> None:
         async with serving(config(control=SECOND)) as (served, _):
-            silent = [await asyncio.open_connection(*second(served)) for _ in range(4)]
+            silent = [await asyncio.open_connection(*admin_address(served)) for _ in range(4)]
             silent[0][1].write(b"rea")
             silent[3][1].write(b"rea")
             assert await call(served, b"ready") == "ok\n"
-            assert await silent[0][0].read() == b""  # the longest silent made room
+            assert await silent[0][0].read() == b""  # The oldest connection is closed for the new one.
             silent[3][1].write(b"dy\n")
             assert await silent[3][0].read() == b"ok\n"
 
     run(body())
 
 
-def test_a_caller_that_stays_silent_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_stays_silent_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(admin_server, "COMMAND_TIMEOUT", 0.0)
     monkeypatch.setattr(admin_server, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
         async with serving(config(control=SECOND)) as (served, _):
-            reader, _writer = await asyncio.open_connection(*second(served))
+            reader, _writer = await asyncio.open_connection(*admin_address(served))
             assert await reader.read() == b""
 
     run(body())
 
 
-def test_a_drain_by_call_lets_clients_go_and_a_resume_takes_it_back() -> None:
+def test_the_drain_command_disconnects_clients_and_resume_cancels_the_drain() -> None:
     ended = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -141,15 +144,16 @@
             Peer(script) as peer,
             serving(config(entry(peer.address), entry(peer.address, "s2"), control=SECOND)) as (served, address),
         ):
-            slow, idle = await Caller.to(address), await Caller.to(address)
+            slow = await Caller.to(address)
+            idle = await Caller.to(address)
             slow.writer.write(command("slow"))
             assert await idle.ask(command("before")) == b"before"
             assert await call(served, b"drain") == "ok\n"
             assert str(await idle.ask(resp(b"PING"))) == "ERR draining"
-            assert await idle.ask(command("after")) == b"after"  # kept connections are served meanwhile
+            assert await idle.ask(command("after")) == b"after"  # Open connections are served during a drain.
             with pytest.raises(EOFError):
                 await idle.answer()
-            late = await Caller.to(address)  # the listener goes on
+            late = await Caller.to(address)  # The listener stays open.
             assert await late.ask(command("late")) == b"late"
             with pytest.raises(EOFError):
                 await late.answer()
@@ -162,12 +166,12 @@
             fresh = await Caller.to(address)
             assert await fresh.ask(resp(b"PING")) == b"PONG"
             assert await fresh.ask(command("fresh")) == b"fresh"
-            assert await fresh.ask(resp(b"PING")) == b"PONG"  # and it stays
+            assert await fresh.ask(resp(b"PING")) == b"PONG"  # The connection stays open.
 
     run(body())
 
 
-def test_what_is_sent_behind_an_open_request_is_not_taken_in_a_drain() -> None:
+def test_a_command_sent_after_a_request_in_flight_is_not_read_during_a_drain() -> None:
     answer = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -194,25 +198,27 @@
     run(body())
 
 
-def test_a_command_that_has_begun_may_end_in_a_drain_but_not_later() -> None:
+def test_a_partly_received_command_may_be_completed_during_a_drain_within_its_timeout() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address), control=SECOND)) as (served, address):
-            halves = command("half")[:30], command("half")[30:]
-            ends, hangs = socket.create_connection(address), socket.create_connection(address)
-            for sock in (ends, hangs):
-                sock.sendall(halves[0])
+            first_half = command("half")[:30]
+            second_half = command("half")[30:]
+            completing = socket.create_connection(address)
+            hanging = socket.create_connection(address)
+            for sock in (completing, hanging):
+                sock.sendall(first_half)
             await until(lambda: sum(c.scanner.in_frame() for c in served.clients.connections) == 2)
             await call(served, b"drain")
             await served.shutdown.clients_may_close.wait()
-            ends.sendall(halves[1])
+            completing.sendall(second_half)
             loop = asyncio.get_running_loop()
-            for sock in (ends, hangs):
+            for sock in (completing, hanging):
                 sock.setblocking(False)
-            assert await loop.sock_recv(ends, 100) == b"$4\r\nhalf\r\n"
-            assert await loop.sock_recv(ends, 100) == b""
-            while await loop.sock_recv(hangs, 100):
-                pass  # an error line may come before the end
-            for sock in (ends, hangs):
+            assert await loop.sock_recv(completing, 100) == b"$4\r\nhalf\r\n"
+            assert await loop.sock_recv(completing, 100) == b""
+            while await loop.sock_recv(hanging, 100):
+                pass  # An error line may precede the close.
+            for sock in (completing, hanging):
                 sock.close()
 
     run(body())
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -1,5 +1,7 @@
-"""Idle clients fill what the real process may open while discovery is down: it still gets its list at the return,
-reaches servers, and answers its second address."""
+"""Descriptor limits: idle clients use up the connections of the real process while discovery is down.
+
+Once discovery is back, the process must still receive its list, reach endpoints and answer at its admin address.
+"""
 
 from __future__ import annotations
 
@@ -20,30 +22,33 @@
 from tests.test_net_restart import free_port
 from tests.test_net_signals import Program, launched, no_fault
 
-SOCKETS = 128  # descriptors that the process may hold, by its configuration and by its system
-PLACES = 40  # connections of clients that it takes with so few
-CLIENTS = 140  # idle ones, more than it may open
-RETURNS = 80  # those that come again each time that they are let go
-SERVED_IN = 7.0  # s for a new client: those before it in line may each keep their place for 2 s
-SECOND_IN = 1.0  # s in which the second address answers
-TOLD_IN = 6.0  # s from when discovery is back: whatever it has to tell counts as told
-VERSION = 7
-LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS}
+MAX_DESCRIPTORS = 128  # Descriptors that the process may open, by its configuration and by its resource limit.
+MIN_ACCEPTED = 40  # Client connections that it accepts at least under that limit.
+CLIENT_COUNT = 140  # Idle clients, more than it may accept.
+RECONNECTING_COUNT = 80  # Clients that connect again each time they are disconnected.
+SERVE_TIMEOUT_S = 7.0  # For a new client; each client queued before it may stay connected for 2 s.
+ADMIN_TIMEOUT_S = 1.0  # For an answer of the admin server.
+LIST_TIMEOUT_S = 6.0  # From the return of discovery until its list must be active.
+LIST_VERSION = 7
+LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": MAX_DESCRIPTORS}
 
 
-def few_descriptors() -> None:
-    resource.setrlimit(resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
+def limit_descriptors() -> None:
+    """Set the resource limit on descriptors of the calling process."""
+    resource.setrlimit(resource.RLIMIT_NOFILE, (MAX_DESCRIPTORS, MAX_DESCRIPTORS))
 
 
-class Agent:
-    """Discovery's agent: refuses or is silent while discovery is down, then tells its one list and no change."""
+class DiscoveryAgent:
+    """A discovery agent that refuses or is silent while discovery is down, and then serves one list without changes."""
 
     def __init__(self, refuses: bool) -> None:
-        self.refuses, self.address = refuses, ("127.0.0.1", free_port())
-        self.back, self.rows = asyncio.Event(), list[dict[str, Any]]()
+        self.refuses = refuses
+        self.address = ("127.0.0.1", free_port())
+        self.is_back = asyncio.Event()
+        self.entries = list[dict[str, Any]]()
         self.server: asyncio.Server | None = None
         self.tasks: set[asyncio.Task[None]] = set()
-        self.asked = 0
+        self.request_count = 0
 
     async def __aenter__(self) -> Self:
         if not self.refuses:
@@ -58,15 +63,16 @@
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
     async def _listen(self) -> None:
-        self.server = await asyncio.start_server(self._come, *self.address)
+        self.server = await asyncio.start_server(self._accept, *self.address)
 
-    async def returns(self, *rows: dict[str, Any]) -> None:
-        self.rows += rows
-        self.back.set()
+    async def come_back(self, *entries: dict[str, Any]) -> None:
+        """Serve a list of these entries from now on."""
+        self.entries += entries
+        self.is_back.set()
         if self.refuses:
             await self._listen()
 
-    def _come(self, reader: Reader, writer: Writer) -> None:
+    def _accept(self, reader: Reader, writer: Writer) -> None:
         task = asyncio.get_running_loop().create_task(self._serve(reader, writer))
         self.tasks.add(task)
 
@@ -74,69 +80,84 @@
         with suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                self.asked += 1
-                await self.back.wait()
-                _, held, wait = head.partition(b"after=%d&wait_ms=" % VERSION)
-                if held:  # there is nothing newer
+                self.request_count += 1
+                await self.is_back.wait()
+                _, is_watch, wait = head.partition(b"after=%d&wait_ms=" % LIST_VERSION)
+                if is_watch:  # The client has the list already.
                     await asyncio.sleep(int(wait.split()[0]) / 1000)
-                body = listing(VERSION, not held, *[] if held else self.rows)
+                body = listing(LIST_VERSION, not is_watch, *[] if is_watch else self.entries)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         writer.close()
 
 
-class Idle:
-    """Clients that connect and then do nothing."""
+class IdleClients:
+    """Clients that connect and then stay idle."""
+
+    def __init__(self, address: Address, host: Callable[[int], str], sends_ping: Callable[[int], bool]) -> None:
+        """Prepare clients of `address`.
 
-    def __init__(self, address: Address, host: Callable[[int], str], speaks: Callable[[int], bool]) -> None:
-        """`host`: the address from which each comes; `speaks`: whether it sends a PING first."""
-        self.address, self.host, self.speaks = address, host, speaks
-        self.held: list[socket.socket] = []
-        self.came = 0
+        Args:
+            address: The address of the ingress.
+            host: Returns the local address of each client.
+            sends_ping: Returns whether a client sends a PING first.
+        """
+        self.address = address
+        self.host = host
+        self.sends_ping = sends_ping
+        self.sockets: list[socket.socket] = []
+        self.connect_count = 0
 
-    async def comes(self, number: int) -> socket.socket:
-        loop, sock = asyncio.get_running_loop(), socket.socket()
-        self.held.append(sock)
+    async def connect(self, number: int) -> socket.socket:
+        """Connect one client."""
+        loop = asyncio.get_running_loop()
+        sock = socket.socket()
+        self.sockets.append(sock)
         sock.setblocking(False)
         sock.bind((self.host(number), 0))
         await loop.sock_connect(sock, self.address)
-        self.came += 1
-        if self.speaks(number):
+        self.connect_count += 1
+        if self.sends_ping(number):
             with suppress(ConnectionError):
                 await loop.sock_sendall(sock, resp(b"PING"))
         return sock
 
-    async def again(self, number: int) -> None:
-        """Comes again each time that it is let go."""
+    async def stay_connected(self, number: int) -> None:
+        """Connect one client again each time it is disconnected."""
         loop = asyncio.get_running_loop()
         while True:
-            sock = await self.comes(number)
+            sock = await self.connect(number)
             with suppress(ConnectionError):
                 while await loop.sock_recv(sock, 64):
                     pass
-            self.held.remove(sock)
+            self.sockets.remove(sock)
             sock.close()
             await asyncio.sleep(0.05)
 
     def close(self) -> None:
-        for sock in self.held:
+        """Close all clients."""
+        for sock in self.sockets:
             sock.close()
 
 
-async def shown(program: Program) -> dict[str, int]:
-    """What the second address tells, which it does in time."""
-    at = time.monotonic()
-    lines = await asyncio.wait_for(program.call(b"show-stat"), 5 * SECOND_IN)
-    assert lines[-1:] == ["eof"] and time.monotonic() - at < SECOND_IN, (time.monotonic() - at, lines)
-    rows = (line.removeprefix("app.").partition("|")[0].rpartition(":") for line in lines[:-1])
-    return {name: int(count) for name, _, count in rows}
+async def read_metrics(program: Program) -> dict[str, int]:
+    """Return the metrics from the admin server, and check that it answers in time."""
+    started_at = time.monotonic()
+    lines = await asyncio.wait_for(program.call(b"show-stat"), 5 * ADMIN_TIMEOUT_S)
+    assert lines[-1:] == ["eof"] and time.monotonic() - started_at < ADMIN_TIMEOUT_S, (
+        time.monotonic() - started_at,
+        lines,
+    )
+    values = (line.removeprefix("app.").partition("|")[0].rpartition(":") for line in lines[:-1])
+    return {name: int(count) for name, _, count in values}
 
 
-def descriptors(program: Program) -> int:
+def descriptor_count(program: Program) -> int:
+    """Return the number of open descriptors of the process."""
     return len(os.listdir(f"/proc/{program.process.pid}/fd"))
 
 
 @pytest.mark.parametrize(
-    ("refuses", "hosts", "speak", "how"),
+    ("refuses", "host_count", "ping_interval", "how"),
     [
         (True, 1, 1, "in turn"),
         (False, 1, 1, "in turn"),
@@ -148,66 +169,77 @@
         (False, 1, 1, "again"),
     ],
 )
-def test_idle_clients_in_an_outage_of_discovery_keep_nothing_from_it(
-    refuses: bool, hosts: int, speak: int, how: str, tmp_path: Path
+def test_idle_clients_during_a_discovery_outage_do_not_block_its_return(
+    refuses: bool, host_count: int, ping_interval: int, how: str, tmp_path: Path
 ) -> None:
-    """Discovery refuses or is silent; the clients come from so many addresses, and each `speak`th sends a PING first.
-    They come in turn or at once and stay as they are when they are let go, or they come again."""
+    """Fill the client connections of a process while discovery refuses connections or is silent.
+
+    The clients use `host_count` addresses, and every `ping_interval`th one sends a PING first, or none if that is 0.
+    They connect in turn or at once; with "again" each connects again when it is disconnected.
+    """
 
     async def body() -> None:
         async with (
-            Agent(refuses) as agent,
-            backend() as there,
+            DiscoveryAgent(refuses) as agent,
+            backend() as endpoint,
             launched(
                 tmp_path,
                 entry(("127.0.0.1", 1), "gone"),
-                before=few_descriptors,
+                before=limit_descriptors,
                 limits=LIMITS,
                 discovery=f"127.0.0.1:{agent.address[1]}",
             ) as program,
         ):
             await program.ready()
-            idle = Idle(program.address, lambda n: f"127.0.0.{2 + n % hosts}", lambda n: speak > 0 and n % speak == 0)
-            coming: list[asyncio.Task[None]] = []
-            silent = [await Caller.to(program.control) for _ in range(20)]  # at the second address, too
+            idle = IdleClients(
+                program.address,
+                lambda n: f"127.0.0.{2 + n % host_count}",
+                lambda n: ping_interval > 0 and n % ping_interval == 0,
+            )
+            reconnecting: list[asyncio.Task[None]] = []
+            silent = [await Caller.to(program.control) for _ in range(20)]  # Silent clients of the admin server.
             try:
                 if how == "again":
-                    coming += [asyncio.create_task(idle.again(number)) for number in range(RETURNS)]
+                    reconnecting += [
+                        asyncio.create_task(idle.stay_connected(number)) for number in range(RECONNECTING_COUNT)
+                    ]
                 elif how == "at once":
-                    await asyncio.gather(*(idle.comes(number) for number in range(CLIENTS)))
+                    await asyncio.gather(*(idle.connect(number) for number in range(CLIENT_COUNT)))
                 else:
-                    for number in range(CLIENTS):
-                        await idle.comes(number)
+                    for number in range(CLIENT_COUNT):
+                        await idle.connect(number)
                         if number % 20 == 0:
-                            assert (await shown(program))["list.version"] == 1
-                while (before := await shown(program))["accepted"] <= PLACES:
+                            assert (await read_metrics(program))["list.version"] == 1
+                while (before := await read_metrics(program))["accepted"] <= MIN_ACCEPTED:
                     await asyncio.sleep(0.01)
-                most = descriptors(program)
+                max_open = descriptor_count(program)
                 assert before["list.version"] == 1, before
-                assert refuses or agent.asked
-                await agent.returns(entry(there.address, "new"))
-                at = time.monotonic()
-                while (now := await shown(program))["list.version"] != VERSION:
-                    assert time.monotonic() - at < TOLD_IN, now
-                    most = max(most, descriptors(program))
+                assert refuses or agent.request_count
+                await agent.come_back(entry(endpoint.address, "new"))
+                started_at = time.monotonic()
+                while (now := await read_metrics(program))["list.version"] != LIST_VERSION:
+                    assert time.monotonic() - started_at < LIST_TIMEOUT_S, now
+                    max_open = max(max_open, descriptor_count(program))
                     await asyncio.sleep(0.02)
                 caller = Caller(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
                 try:
-                    assert await asyncio.wait_for(caller.ask(command()), SERVED_IN) == b"00000000000000aa"
+                    assert await asyncio.wait_for(caller.ask(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
                 except TimeoutError:
-                    pytest.fail(f"a new client got no answer in {SERVED_IN} s: {await shown(program)}")
-                assert [words[2] for words in there.commands] == [b"00000000000000aa"]
-                most = max(most, descriptors(program))
-                last = await shown(program)
-                assert last["no_descriptor"] == 0 and most < SOCKETS, (most, last)
+                    pytest.fail(f"a new client got no answer in {SERVE_TIMEOUT_S} s: {await read_metrics(program)}")
+                assert [words[2] for words in endpoint.commands] == [b"00000000000000aa"]
+                max_open = max(max_open, descriptor_count(program))
+                last = await read_metrics(program)
+                assert last["no_descriptor"] == 0 and max_open < MAX_DESCRIPTORS, (max_open, last)
                 assert not program.logged("Too many open files")
-                assert not any(task.done() for task in coming), [task.exception() for task in coming if task.done()]
+                assert not any(task.done() for task in reconnecting), [
+                    task.exception() for task in reconnecting if task.done()
+                ]
             finally:
-                for task in coming:
+                for task in reconnecting:
                     task.cancel()
-                await asyncio.gather(*coming, return_exceptions=True)
-                for one in silent:
-                    one.writer.close()
+                await asyncio.gather(*reconnecting, return_exceptions=True)
+                for caller in silent:
+                    caller.writer.close()
                 idle.close()
             no_fault(program)
 
@@ -215,28 +247,30 @@
 
 
 @pytest.mark.parametrize(("soft", "hard"), [(96, 256), (110, 110), (96, 160)])
-def test_clients_leave_descriptors_for_servers_whatever_the_system_allows(soft: int, hard: int, tmp_path: Path) -> None:
-    """The configuration lets the process hold 256; the system lets it have fewer, and that stays so."""
+def test_clients_leave_descriptors_for_endpoints_whatever_the_resource_limit(
+    soft: int, hard: int, tmp_path: Path
+) -> None:
+    """The configuration allows 256 descriptors, but the resource limit of the process is lower and stays so."""
 
     async def body() -> None:
         async with (
-            backend() as there,
+            backend() as endpoint,
             launched(
                 tmp_path,
-                entry(there.address),
+                entry(endpoint.address),
                 before=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard)),
                 limits=LIMITS | {"sockets": 256},
             ) as program,
         ):
             await program.ready()
-            idle = Idle(program.address, lambda n: f"127.0.0.{2 + n % 8}", lambda n: True)
+            idle = IdleClients(program.address, lambda n: f"127.0.0.{2 + n % 8}", lambda n: True)
             try:
-                for number in range(CLIENTS):
-                    await idle.comes(number)
+                for number in range(CLIENT_COUNT):
+                    await idle.connect(number)
                 caller = Caller(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
-                assert await asyncio.wait_for(caller.ask(command()), SERVED_IN) == b"00000000000000aa"
-                found = await shown(program)
-                assert found["no_descriptor"] == 0 and descriptors(program) < soft, found
+                assert await asyncio.wait_for(caller.ask(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
+                metrics = await read_metrics(program)
+                assert metrics["no_descriptor"] == 0 and descriptor_count(program) < soft, metrics
                 caller.writer.close()
             finally:
                 idle.close()
--- a/tests/test_net_figures.py
+++ b/tests/test_net_figures.py
@@ -1,4 +1,4 @@
-"""What the ingress reports: each request once, whatever way it ends."""
+"""Metrics of the ingress: each request is counted once, however it ends."""
 
 from __future__ import annotations
 
@@ -27,19 +27,20 @@
 
 
 async def figures(served: Ingress) -> dict[str, int]:
+    """Return the metrics in the answer to `show-stat`, after a check of their types."""
     lines = (await call(served, b"show-stat")).splitlines()
     assert lines.pop() == "eof"
-    found = {}
+    values = {}
     for line in lines:
-        name, _, rest = line.removeprefix("app.").partition(":")
-        figure, _, kind = rest.partition("|")
-        gauge = name in ("outstanding", "discovered", "ejected") or name.startswith(GAUGES)
-        assert kind == ("g" if gauge else "c")
-        found[name] = int(figure)
-    return found
+        name, _, value_and_type = line.removeprefix("app.").partition(":")
+        value, _, metric_type = value_and_type.partition("|")
+        is_gauge = name in ("outstanding", "discovered", "ejected") or name.startswith(GAUGES)
+        assert metric_type == ("g" if is_gauge else "c")
+        values[name] = int(value)
+    return values
 
 
-def test_each_way_to_end_is_counted_once() -> None:
+def test_each_result_of_a_request_is_counted_once() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         if words[2] == b"served":
@@ -53,7 +54,7 @@
             case RequestReceived(request_id="3"):
                 return [FailRequest(event.request_id)]
             case RequestReceived(request_id="4"):
-                return []  # expires
+                return []  # The request reaches its deadline.
         return send(event)
 
     async def body() -> None:
@@ -62,12 +63,12 @@
             caller = await Caller.to(address)
             for name in ("served", "refused", "failed", "expired"):
                 await caller.ask(command(name, d=100 if name == "expired" else 2000))
-            gone = await Caller.to(address)
-            gone.writer.write(command("gone"))
+            disconnecting = await Caller.to(address)
+            disconnecting.writer.write(command("gone"))
             await until(lambda: served.metrics.attempts_sent == 2)
-            now = await figures(served)
-            assert now["outstanding"] == 1 and now["forwards"] == 2 and now["discovered"] == 1
-            gone.writer.close()
+            metrics = await figures(served)
+            assert metrics["outstanding"] == 1 and metrics["forwards"] == 2 and metrics["discovered"] == 1
+            disconnecting.writer.close()
             await until(lambda: not served.requests.in_flight)
             override_config(served, max_open_requests=0)
             await caller.ask(command("too many"))
@@ -76,7 +77,7 @@
                 for name, count in (await figures(served)).items()
                 if not name.startswith(("loop.", "connections."))
             }
-            assert (shown.pop("list.version"), shown.pop("list.age_ms")) == (1, -1)  # nobody has told since
+            assert (shown.pop("list.version"), shown.pop("list.age_ms")) == (1, -1)  # Discovery has not answered.
             assert shown.pop("health.healthy") == 1
             for name in ("health.suspect", "health.ejected", "health.trial", "ejections", "probes", "odd_reports"):
                 assert shown.pop(name) == 0
@@ -102,7 +103,7 @@
     run(body())
 
 
-def test_a_backend_that_refuses_connections_shows_as_avoided() -> None:
+def test_an_endpoint_that_refuses_connections_is_counted_as_ejected() -> None:
     async def body() -> None:
         async with (
             backend() as peer,
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -1,4 +1,4 @@
-"""Clients that leave: nothing is sent on for one that has gone, whatever waited for its turn meanwhile."""
+"""Clients that disconnect: nothing that was queued for them is sent to an endpoint afterwards."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import struct
 import time
 from collections.abc import Callable
-from typing import Any
+from typing import Any, ClassVar
 
 import pytest
 
@@ -36,11 +36,13 @@
 from tests.test_net_ingress import Stub, send, serving
 
 
-class Gate:
-    """An event loop on which no connection to a server comes up before `open` is set."""
+class GatedLoop:
+    """An event loop on which no connection to an endpoint is established before `open` is set."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        self.loop, self.open, self.waiting = loop, asyncio.Event(), 0
+        self.loop = loop
+        self.open = asyncio.Event()
+        self.waiting = 0
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
@@ -51,24 +53,25 @@
         await self.loop.sock_connect(sock, address)
 
 
-def gated(served: Ingress) -> Gate:
-    gate = Gate(served.pool.loop)
+def gate_connects(served: Ingress) -> GatedLoop:
+    """Let the connection pool use a gated loop, with a long connect timeout."""
+    gate = GatedLoop(served.pool.loop)
     served.pool.loop = gate  # type: ignore[assignment]
     served.pool.connect_timeout = 10.0
     return gate
 
 
-def leaves(sock: socket.socket) -> None:
+def close(sock: socket.socket) -> None:
     sock.close()
 
 
-def resets(sock: socket.socket) -> None:
+def reset(sock: socket.socket) -> None:
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 async def warm(served: Ingress, address: Address, count: int = 1) -> None:
-    """So many connections to the server are at rest."""
+    """Open `count` connections to the endpoint and leave them idle."""
     callers = [await Caller.to(address) for _ in range(count)]
     for caller in callers:
         caller.writer.write(command("warm"))
@@ -78,43 +81,47 @@
     await until(lambda: not served.clients.connections)
 
 
-def paused(served: Ingress) -> bool:
+def is_any_client_paused(served: Ingress) -> bool:
     return any(client.pipeline_full for client in served.clients.connections)
 
 
-@pytest.mark.parametrize("ends", [leaves, resets])
-@pytest.mark.parametrize("count", [1, client_connection.MAX_PIPELINED + 1])  # the last is not read, nor what follows it
-def test_nothing_that_waited_for_a_connection_goes_out_once_its_client_has_left(
-    ends: Callable[[socket.socket], None], count: int
+@pytest.mark.parametrize("disconnect", [close, reset])
+@pytest.mark.parametrize(
+    "count", [1, client_connection.MAX_PIPELINED + 1]
+)  # The last one is not read, nor is a disconnect.
+def test_nothing_that_waits_for_a_connection_is_sent_after_its_client_has_disconnected(
+    disconnect: Callable[[socket.socket], None], count: int
 ) -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
-            gate = gated(served)
+            gate = gate_connects(served)
             client = socket.create_connection(address)
             client.sendall(b"".join(command(f"r{n}") for n in range(count)))
-            await until(lambda: gate.waiting and (count == 1 or paused(served)))
-            ends(client)
+            await until(lambda: gate.waiting and (count == 1 or is_any_client_paused(served)))
+            disconnect(client)
             gate.open.set()
             await until(lambda: not served.requests.in_flight and not served.pool.connecting)
             caller = await Caller.to(address)
             assert await caller.ask(command("after")) == b"after"
             assert [words[2] for words in peer.commands] == [b"after"]
-            await until(lambda: len(served.clients.connections) == 1)  # paused or not, it is found to have gone
+            await until(
+                lambda: len(served.clients.connections) == 1
+            )  # The disconnect is noticed even if reading was paused.
 
     run(body())
 
 
-@pytest.mark.parametrize("ends", [leaves, resets])
-def test_no_further_attempt_is_made_for_a_client_that_has_left_while_it_was_not_read(
-    ends: Callable[[socket.socket], None],
+@pytest.mark.parametrize("disconnect", [close, reset])
+def test_no_further_attempt_is_made_for_a_client_that_disconnected_while_reading_was_paused(
+    disconnect: Callable[[socket.socket], None],
 ) -> None:
     commands: list[bytes] = []
-    left = asyncio.Event()
+    disconnected = asyncio.Event()
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while True:
             commands.append((await read_command(reader))[2])
-            await left.wait()
+            await disconnected.wait()
             writer.write(b"-BUSY\r\n")
 
     async def body() -> None:
@@ -126,25 +133,25 @@
         ):
             client = socket.create_connection(address)
             client.sendall(b"".join(command(f"r{n}") for n in range(count + 1)))
-            await until(lambda: paused(served) and commands)
+            await until(lambda: is_any_client_paused(served) and commands)
             await until(lambda: len(commands) == len(served.requests.attempts_in_flight))
-            first = len(commands)
-            ends(client)
-            left.set()
+            sent_count = len(commands)
+            disconnect(client)
+            disconnected.set()
             await until(lambda: not served.requests.in_flight and not served.requests.attempts_in_flight)
-            assert len(commands) == first
+            assert len(commands) == sent_count
 
     run(body())
 
 
-def test_a_request_that_comes_together_with_the_end_of_its_connection_is_not_sent_on() -> None:
+def test_a_request_that_arrives_together_with_the_close_of_its_connection_is_not_forwarded() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             await warm(served, address)
             client = socket.create_connection(address)
             await until(lambda: [c for c in served.clients.connections if c.transport])
             client.sendall(command("gone"))
-            client.close()  # before the loop has read anything
+            client.close()  # The event loop has not read anything yet.
             time.sleep(0.15)
             await until(lambda: not served.clients.connections)
             assert [words[2] for words in peer.commands] == [b"warm"] and not served.requests.in_flight
@@ -152,8 +159,8 @@
     run(body())
 
 
-def test_a_second_attempt_that_is_due_as_the_process_goes_on_is_not_made_for_a_client_that_left() -> None:
-    """The process stands still meanwhile, and timers are served before it hears of the end."""
+def test_a_hedge_that_is_due_when_a_stalled_process_resumes_is_not_sent_for_a_disconnected_client() -> None:
+    """While the process is stalled the client disconnects, and timers fire before the event loop reports that."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
@@ -169,19 +176,20 @@
         "categories": patient,
     }
 
-    class Standstill(asyncio.Protocol):
-        """The process stands still in the middle of reading from its connections, up to that time."""
+    class Stall(asyncio.Protocol):
+        """Closes clients and then blocks the event loop until a given time, while it reads from its connections."""
 
-        until, leaves = 0.0, list[socket.socket]()
+        until = 0.0
+        closes: ClassVar[list[socket.socket]] = []
 
         def data_received(self, data: bytes) -> None:
-            for client in self.leaves:
+            for client in self.closes:
                 client.close()
             time.sleep(max(0.0, self.until - time.monotonic()))
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
-        stop = await loop.create_server(Standstill, "127.0.0.1", 0)
+        stall_server = await loop.create_server(Stall, "127.0.0.1", 0)
         async with (
             Peer(script) as one,
             Peer(script) as two,
@@ -191,37 +199,39 @@
             for server in served.gateway.cluster.endpoints.by_id.values():
                 server.concurrency_limit = 32.0
             served.gateway.cluster.endpoints.apply_list(EndpointsChanged(EndpointListKind.UPDATE), served.clock())
-            with socket.create_connection(stop.sockets[0].getsockname()) as still:
+            with socket.create_connection(stall_server.sockets[0].getsockname()) as trigger:
                 for name, stays in ((b"stays", True), (b"gone", False)):
-                    served.gateway.forwarder.hedging.win_rate, served.gateway.forwarder.retries.level = 1.0, 10.0
+                    served.gateway.forwarder.hedging.win_rate = 1.0
+                    served.gateway.forwarder.retries.level = 10.0
                     client = socket.create_connection(address)
-                    Standstill.until, Standstill.leaves = time.monotonic() + 1.2, [] if stays else [client]
+                    Stall.until = time.monotonic() + 1.2
+                    Stall.closes = [] if stays else [client]
                     client.sendall(command(name.decode(), d=5000))
                     while name not in commands:
                         await asyncio.sleep(0.002)
-                    assert Standstill.until - time.monotonic() > 0.3
-                    still.send(b"now")  # the second one is due 0.2 s before the process goes on
+                    assert Stall.until - time.monotonic() > 0.3
+                    trigger.send(b"now")  # The hedge is due 0.2 s before the stall ends.
                     while served.gateway.forwarder.hedging.candidates:
                         await asyncio.sleep(0.002)
                     await asyncio.sleep(0.1)
                     assert commands.count(name) == 1 + stays
                     client.close()
                     await until(lambda: not served.clients.connections)
-        stop.close()
+        stall_server.close()
 
     run(body())
 
 
-def test_what_waits_in_line_is_not_sent_once_another_attempt_has_answered() -> None:
-    """No attempt follows the final answer, also where the settings allow none to be cancelled."""
+def test_a_queued_attempt_is_not_sent_after_another_attempt_has_answered() -> None:
+    """No attempt is sent after the final answer, even if the settings do not allow attempts to be cancelled."""
 
-    def twice(event: Event) -> list[Action]:
+    def start_two_attempts(event: Event) -> list[Action]:
         if not isinstance(event, RequestReceived):
             return []
         both = len(stub.of(RequestReceived)) > 1
         return [StartAttempt(event.request_id, "s1"), *([StartAttempt(event.request_id, "s2")] if both else [])]
 
-    stub = Stub(twice)
+    stub = Stub(start_two_attempts)
 
     async def body() -> None:
         settings = SETTINGS | {"limits": SETTINGS["limits"] | {"second-copies": True, "cancel": False}}
@@ -233,7 +243,7 @@
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await Caller.to(address)
             await caller.ask(command("warm"))
-            gate = gated(served)
+            gate = gate_connects(served)
             assert await caller.ask(command("both")) == b"both"
             assert gate.waiting == 1
             gate.open.set()
@@ -248,9 +258,11 @@
     run(body())
 
 
-def test_a_command_that_the_system_has_not_taken_whole_never_arrives_whole() -> None:
-    """The client leaves while part of its command waits for room on the way to the server."""
-    whole, got, ended = len(command("large", cls="order", body=bytes(60_000))), bytearray(), asyncio.Event()
+def test_a_command_that_the_kernel_has_accepted_only_in_part_never_arrives_completely() -> None:
+    """The client disconnects while part of its command waits for the send buffer of the endpoint's connection."""
+    command_size = len(command("large", cls="order", body=bytes(60_000)))
+    received = bytearray()
+    ended = asyncio.Event()
     ready = asyncio.Event()
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
@@ -260,7 +272,7 @@
         await ready.wait()
         writer.transport.resume_reading()  # type: ignore[attr-defined]
         while data := await reader.read(1 << 16):
-            got.extend(data)
+            received.extend(data)
         ended.set()
 
     async def body() -> None:
@@ -269,7 +281,7 @@
             await warm(served, address)
             [connection] = served.pool.endpoints["s1"].idle_connections
             connection.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-            await asyncio.sleep(0.03)  # it has been quiet for long enough
+            await asyncio.sleep(0.03)  # The connection has been idle for long enough to be reused.
             client = socket.create_connection(address)
             client.sendall(command("large", cls="order", body=bytes(60_000)))
             await until(lambda: connection.attempt is not None)
@@ -278,12 +290,12 @@
             await until(lambda: not served.requests.in_flight)
             ready.set()
             await ended.wait()
-            assert len(got) < whole - 1000
+            assert len(received) < command_size - 1000
 
     run(body())
 
 
-def test_a_repeat_that_waited_past_its_window_is_not_sent() -> None:
+def test_an_attempt_that_waited_past_its_start_deadline_is_not_sent() -> None:
     def plan(event: Event) -> list[Action]:
         match event:
             case RequestReceived(request_id=key):
@@ -297,7 +309,7 @@
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             served.runner.gateway = stub  # type: ignore[assignment]
-            gate = gated(served)
+            gate = gate_connects(served)
             caller = await Caller.to(address)
             caller.writer.write(command("late", cls="order"))
             await until(lambda: gate.waiting)
@@ -309,8 +321,8 @@
     run(body())
 
 
-def test_a_client_that_is_there_is_served_as_ever() -> None:
-    """Also one with more to read behind the request at hand, and one that has bytes unread."""
+def test_a_connected_client_with_unread_bytes_is_served() -> None:
+    """The check for a disconnect must not mistake pipelined requests or unread bytes for one."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
@@ -323,9 +335,9 @@
     run(body())
 
 
-def test_the_system_tells_that_a_peer_has_ended_behind_bytes_that_nobody_has_read() -> None:
+def test_a_close_by_the_peer_is_detected_behind_unread_bytes() -> None:
     listener = socket.create_server(("127.0.0.1", 0))
-    for ends, unread in ((leaves, b""), (leaves, b"x"), (resets, b""), (resets, b"x")):
+    for disconnect, unread in ((close, b""), (close, b"x"), (reset, b""), (reset, b"x")):
         client = socket.create_connection(listener.getsockname())
         server, _ = listener.accept()
         assert peek_byte(server) == b"" and not is_closed_by_peer(server)
@@ -333,7 +345,7 @@
         if unread:
             server.recv(1, socket.MSG_PEEK)
             assert peek_byte(server) == b"x" and not is_closed_by_peer(server)
-        ends(client)
+        disconnect(client)
         assert is_closed_by_peer(server)
         server.close()
     listener.close()
--- a/tests/test_net_ingress.py
+++ b/tests/test_net_ingress.py
@@ -1,4 +1,4 @@
-"""The whole ingress on sockets: clients, the real module, scripted backends."""
+"""End-to-end tests of one ingress process on real sockets, with clients, the gateway and scripted endpoints."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @asynccontextmanager
 async def serving(settings: Config) -> AsyncIterator[tuple[Ingress, Any]]:
-    """An ingress that runs, and the address where it listens."""
+    """Run an ingress; yield it and the address on which it listens."""
     served = Ingress(settings)
     stop = asyncio.Event()
     task = asyncio.create_task(served.run(stop))
@@ -55,10 +55,12 @@
 
 
 class Stub:
-    """A module that does as it is told: `plan` gives the actions for an event."""
+    """A test double of the `Gateway`; `plan` returns the actions for an event."""
 
     def __init__(self, plan: Any) -> None:
-        self.plan, self.born, self.seen = plan, 0.0, list[Event]()
+        self.plan = plan
+        self.born = 0.0
+        self.seen = list[Event]()
         self.actions: list[Action] = []
 
     def handle(self, now: float, event: Event) -> list[Action]:
@@ -72,10 +74,11 @@
 
 
 def send(event: Event, backend: str = "s1") -> list[Action]:
+    """Start one attempt for each request received."""
     return [StartAttempt(event.request_id, backend)] if isinstance(event, RequestReceived) else []
 
 
-def test_ping_and_the_small_commands() -> None:
+def test_ping_select_and_client_are_answered() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
             caller = await Caller.to(address)
@@ -89,7 +92,7 @@
 
 
 @pytest.mark.parametrize("body", [b"x", bytes(range(256)) * 256])
-def test_a_value_goes_through_unchanged(body: bytes) -> None:
+def test_a_body_is_forwarded_unchanged(body: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         peer.commands.append(words)
@@ -108,7 +111,7 @@
     run(play())
 
 
-def test_answers_come_in_the_order_of_the_commands() -> None:
+def test_responses_keep_the_order_of_the_commands() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         if words[2] == b"slow":
@@ -130,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (resp(b"GET", b"x"), "unknown command"),
         (resp(b"API.READ"), "arguments"),
@@ -150,20 +153,20 @@
         (command(cls="order").replace(b",k=", b",j="), "k is missing"),
     ],
 )
-def test_a_malformed_command_is_told_and_logged_and_the_connection_goes_on(
-    data: bytes, why: str, caplog: pytest.LogCaptureFixture
+def test_a_malformed_command_is_answered_and_logged_and_the_connection_stays_open(
+    data: bytes, reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
             caller = await Caller.to(address)
             answer = await caller.ask(data)
             assert isinstance(answer, hiredis.ReplyError)
-            assert str(answer).startswith("ERR ") and why in str(answer)
+            assert str(answer).startswith("ERR ") and reason in str(answer)
             assert await caller.ask(resp(b"PING")) == b"PONG"
 
     with caplog.at_level(logging.WARNING):
         run(body())
-    assert any(why in record.getMessage() for record in caplog.records)
+    assert any(reason in record.getMessage() for record in caplog.records)
 
 
 @pytest.mark.parametrize(
@@ -177,18 +180,18 @@
         b"*1\r\n$900000\r\n" + b"x" * 800_000,
     ],
 )
-def test_a_broken_frame_ends_the_connection_after_the_answers_owed(data: bytes) -> None:
-    made: list[Ingress] = []
+def test_a_malformed_frame_closes_the_connection_after_the_outstanding_answers(data: bytes) -> None:
+    ingresses: list[Ingress] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        await until(lambda: made[0].clients.malformed_count)
+        await until(lambda: ingresses[0].clients.malformed_count)
         writer.write(value(b"served"))
         await reader.read()
 
     async def body() -> None:
         async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
-            made.append(served)
+            ingresses.append(served)
             caller = await Caller.to(address)
             caller.writer.write(command() + data)
             assert await caller.answer() == b"served"
@@ -199,7 +202,7 @@
     run(body())
 
 
-def test_a_frame_that_claims_a_billion_words_does_not_stall_the_loop() -> None:
+def test_a_frame_that_declares_a_billion_elements_does_not_stall_the_event_loop() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
             caller = await Caller.to(address)
@@ -221,7 +224,7 @@
         [resp(b"PING", b"*1") + b"*2\r\n$1\r\nx\r\n%100000\r\n"],
     ],
 )
-def test_such_a_claim_is_found_wherever_it_stands(pieces: list[bytes]) -> None:
+def test_too_many_declared_elements_are_rejected_wherever_they_occur(pieces: list[bytes]) -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
             caller = await Caller.to(address)
@@ -240,7 +243,7 @@
 
 
 @pytest.mark.parametrize(
-    ("pieces", "held"),
+    ("pieces", "times_out"),
     [
         ([], True),
         ([b"*4"], True),
@@ -253,7 +256,7 @@
         ([command()[:20], command()[20:]], False),
     ],
 )
-def test_a_peer_that_ends_no_command_is_let_go(pieces: list[bytes], held: bool) -> None:
+def test_a_client_that_never_completes_a_command_is_disconnected(pieces: list[bytes], times_out: bool) -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
             caller = await Caller.to(address)
@@ -265,18 +268,18 @@
             client_timeouts.check_timeouts(client, client.server.clock() + client_timeouts.COMMAND_TIMEOUT * 0.9)
             assert not client.is_closing
             client_timeouts.check_timeouts(client, client.server.clock() + client_timeouts.COMMAND_TIMEOUT)
-            if held:
+            if times_out:
                 with pytest.raises(EOFError):
                     while True:
                         await caller.answer()
             else:
                 assert client.transport is not None and not client.transport.is_closing()
-            assert client.is_closing == held  # nothing that comes from now on is taken
+            assert client.is_closing == times_out  # No further input is processed.
 
     run(body())
 
 
-def test_the_time_of_a_first_command_runs_from_the_start_of_the_connection() -> None:
+def test_the_timeout_of_the_first_command_starts_with_the_connection() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
             await Caller.to(address)
@@ -291,7 +294,7 @@
     run(body())
 
 
-def test_silent_peers_are_looked_for(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_sweep_disconnects_silent_clients(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_timeouts, "COMMAND_TIMEOUT", 0.0)
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL", 0.01)
 
@@ -304,7 +307,7 @@
     run(body())
 
 
-def test_a_peer_that_sends_nothing_but_nonsense_is_let_go() -> None:
+def test_a_client_that_sends_only_unknown_commands_is_disconnected() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
             caller = await Caller.to(address)
@@ -318,7 +321,7 @@
     run(body())
 
 
-def test_a_client_that_hangs_up_is_told_to_the_module() -> None:
+def test_the_gateway_is_notified_of_a_client_that_disconnects() -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
             stub = Stub(send)
@@ -334,7 +337,7 @@
 
 
 @pytest.mark.parametrize("sent", [True, False])
-def test_a_final_answer_comes_in_time_whatever_module_and_peer_do(sent: bool) -> None:
+def test_a_final_answer_is_sent_in_time_whatever_the_gateway_and_the_endpoint_do(sent: bool) -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
             stub = Stub(send if sent else None)
@@ -352,8 +355,8 @@
     run(body())
 
 
-def test_the_module_answers_before_the_last_answer_is_forced() -> None:
-    """A silent backend: the attempt's time is up first, and the module gives the final answer."""
+def test_the_gateway_answers_before_a_final_answer_is_forced() -> None:
+    """The endpoint is silent: the attempt times out first, and the gateway gives the final answer."""
 
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
@@ -365,7 +368,9 @@
 
 
 @pytest.mark.parametrize("d", [40, 90])
-def test_it_does_so_for_short_waits_too(d: int, caplog: pytest.LogCaptureFixture) -> None:
+def test_the_gateway_answers_before_a_final_answer_is_forced_for_short_timeouts_too(
+    d: int, caplog: pytest.LogCaptureFixture
+) -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (_, address):
             caller = await Caller.to(address)
@@ -375,11 +380,11 @@
     assert not any("forced" in record.getMessage() for record in caplog.records)
 
 
-def test_a_refusal_tells_when_to_come_again() -> None:
+def test_a_busy_answer_carries_the_retry_delay() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
-            waits = {"1": 0.0, "2": 1.2501}
-            served.runner.gateway = Stub(lambda e: [RejectRequest(e.request_id, waits[e.request_id])])  # type: ignore[assignment]
+            retry_after = {"1": 0.0, "2": 1.2501}
+            served.runner.gateway = Stub(lambda e: [RejectRequest(e.request_id, retry_after[e.request_id])])  # type: ignore[assignment]
             caller = await Caller.to(address)
             assert str(await caller.ask(command())) == "BUSY"
             assert str(await caller.ask(command())) == "BUSY 1251"
@@ -398,8 +403,8 @@
     run(body())
 
 
-def test_a_fault_in_the_module_ends_one_request_and_no_more(caplog: pytest.LogCaptureFixture) -> None:
-    """What the module had decided before it failed is carried out: its next timer, above all."""
+def test_a_fault_in_the_gateway_ends_only_one_request(caplog: pytest.LogCaptureFixture) -> None:
+    """The actions that were decided before the fault are performed, above all the next timer."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
@@ -424,7 +429,7 @@
     assert sum("the module failed" in record.getMessage() for record in caplog.records) == 1
 
 
-def test_the_earlier_attempt_is_ended_before_another_is_sent() -> None:
+def test_the_earlier_attempt_is_cancelled_before_another_is_sent() -> None:
     async def body() -> None:
         async with (
             backend(b"") as one,
@@ -447,7 +452,7 @@
     run(body())
 
 
-def test_two_attempts_are_out_at_once_where_the_settings_allow_it() -> None:
+def test_two_attempts_run_concurrently_if_the_settings_allow_it() -> None:
     async def body() -> None:
         allowed = {**SETTINGS, "limits": {**SETTINGS["limits"], "second-copies": True}}
         async with (
@@ -477,7 +482,7 @@
     run(body())
 
 
-def test_an_attempt_after_the_end_or_past_the_most_is_moot() -> None:
+def test_an_attempt_after_the_end_of_its_request_or_above_the_limit_is_not_sent() -> None:
     async def body() -> None:
         async with backend(b"-ERR failed\r\n") as peer, serving(config(entry(peer.address))) as (served, address):
 
@@ -489,13 +494,13 @@
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await Caller.to(address)
             assert str(await caller.ask(command(d=300))) == "ERR failed"
-            ends = [(e.attempt, e.outcome) for e in stub.of(AttemptEnded)]
-            assert ends == [*((n, Outcome.ERROR) for n in range(4)), (4, Outcome.NOT_SENT)]
+            outcomes = [(e.attempt, e.outcome) for e in stub.of(AttemptEnded)]
+            assert outcomes == [*((n, Outcome.ERROR) for n in range(4)), (4, Outcome.NOT_SENT)]
 
     run(body())
 
 
-def test_open_requests_are_bounded() -> None:
+def test_requests_in_flight_are_limited() -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
             override_config(served, max_open_requests=1)
@@ -504,21 +509,21 @@
             caller.writer.write(command())
             await until(lambda: peer.commands)
             assert str(await other.ask(command())).startswith("BUSY")
-            assert served.metrics.rejections_by_reason == {"memory": 1}  # not for want of an endpoint
+            assert served.metrics.rejections_by_reason == {"memory": 1}  # The reason is not a missing endpoint.
 
     run(body())
 
 
-def test_a_client_far_ahead_is_read_no_further(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_reading_pauses_for_a_client_that_pipelines_too_many_commands(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_connection, "MAX_PIPELINED", 4)
-    most = 0
+    max_in_flight = 0
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
 
             def plan(event: Event) -> list[Action]:
-                nonlocal most
-                most = max(most, len(served.requests.in_flight))
+                nonlocal max_in_flight
+                max_in_flight = max(max_in_flight, len(served.requests.in_flight))
                 return send(event)
 
             served.runner.gateway = Stub(plan)  # type: ignore[assignment]
@@ -527,13 +532,13 @@
             assert [await caller.answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
 
     run(body())
-    assert most == 4
+    assert max_in_flight == 4
 
 
-def test_connections_of_clients_are_bounded_and_idle_ones_make_room() -> None:
+def test_client_connections_are_limited_and_an_idle_one_is_closed_for_a_new_one() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
-            served.clients.max_connections = 3  # the last place is kept free
+            served.clients.max_connections = 3  # Reaching the limit closes an idle connection.
             callers = [await Caller.to(address) for _ in range(2)]
             for caller in callers:
                 assert await caller.ask(resp(b"PING")) == b"PONG"
@@ -546,14 +551,14 @@
     run(body())
 
 
-def test_a_connection_accepted_as_the_listener_closes_is_served_and_then_ended() -> None:
+def test_a_connection_accepted_as_the_listener_closes_is_served_and_then_closed() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
             idle = socket.create_connection(address)
             busy = socket.create_connection(address)
             busy.sendall(resp(b"PING"))
             served.clients.set_draining(True)
-            served.clients.stop_accepting()  # before the loop has seen either of them
+            served.clients.stop_accepting()  # The event loop has not accepted either of them yet.
             loop = asyncio.get_running_loop()
             for sock in (idle, busy):
                 sock.setblocking(False)
@@ -566,7 +571,7 @@
     run(body())
 
 
-def test_the_clock_is_unix_time_and_does_not_jump(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_clock_returns_unix_time_and_does_not_jump(monkeypatch: pytest.MonkeyPatch) -> None:
     import time
 
     clock = unix_clock()
--- a/tests/test_net_long.py
+++ b/tests/test_net_long.py
@@ -1,4 +1,4 @@
-"""Long values: passed on in pieces, with back-pressure and a budget, and broken ones show."""
+"""Long response values: forwarded in chunks, with back-pressure and a memory budget; failures are visible."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 async def slow_caller(served: Ingress, address: Address) -> Caller:
-    """A client whose connection holds little beside what it has read."""
+    """Connect a client with small socket buffers, so that little is in flight besides what it has read."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 14)
     sock.setblocking(False)
@@ -51,20 +51,21 @@
 
 
 @pytest.mark.parametrize("step", [1, 3, 7, 1000, 1 << 20])
-def test_an_answer_is_read_alike_however_it_is_cut(step: int) -> None:
+def test_a_response_is_parsed_alike_whatever_the_read_sizes(step: int) -> None:
     body = bytes(range(256)) * 300
     data = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$10\r\ninflight=7\r\n" % (len(body), body)
     reader = ResponseReader()
-    for follows in (value(b"short"), data, b"-BUSY x\r\n", data):
-        pieces, answers = b"", []
-        for at in range(0, len(follows), step):
-            pieces += reader.feed(follows[at : at + step])
+    for response in (value(b"short"), data, b"-BUSY x\r\n", data):
+        chunks = b""
+        answers = []
+        for at in range(0, len(response), step):
+            chunks += reader.feed(response[at : at + step])
             if (answer := reader.take_response()) is not INCOMPLETE:
                 answers.append(answer)
-        if follows is data:
-            assert pieces == body + b"\r\n" and answers == [[b"", None, b"inflight=7"]]
+        if response is data:
+            assert chunks == body + b"\r\n" and answers == [[b"", None, b"inflight=7"]]
         else:
-            assert not pieces and len(answers) == 1
+            assert not chunks and len(answers) == 1
     assert not reader.has_data()
 
 
@@ -72,19 +73,19 @@
     "data",
     [b"*3\r\n$70000\r\n" + bytes(70000) + b"xx", b"*3\r\n$%d\r\n" % (resp.MAX_VALUE_BYTES + 1), b"*65\r\n$70000\r\n"],
 )
-def test_a_long_value_that_makes_no_sense_is_told(data: bytes) -> None:
+def test_a_malformed_long_value_raises_a_protocol_error(data: bytes) -> None:
     with pytest.raises(hiredis.ProtocolError):
         ResponseReader().feed(data)
 
 
-def test_first_bytes_are_passed_on_before_the_last_have_come() -> None:
-    passed = asyncio.Event()
+def test_the_first_chunk_is_forwarded_before_the_last_is_received() -> None:
+    first_forwarded = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
             writer.write(HEAD + LONG[:100])
-            await passed.wait()
+            await first_forwarded.wait()
             writer.write(LONG[100:] + b"\r\n$-1\r\n$-1\r\n")
 
     async def body() -> None:
@@ -95,28 +96,28 @@
             caller.writer.write(command(d=300))
             head = b"$%d\r\n" % len(LONG)
             assert await caller.reader.readexactly(len(head) + 100) == head + LONG[:100]
-            await asyncio.sleep(0.4)  # the client's time is over: a value that has begun is not cut off
-            passed.set()
+            await asyncio.sleep(0.4)  # The deadline has passed; a value that has begun is not aborted.
+            first_forwarded.set()
             assert await caller.reader.readexactly(len(LONG) - 98) == LONG[100:] + b"\r\n"
-            assert await caller.ask(command()) == LONG  # both connections can be used again
+            assert await caller.ask(command()) == LONG  # Both connections can be used again.
             assert peer.connections == 1
             await until(lambda: not served.requests.in_flight)
             assert [type(e) for e in stub.seen[:3]] == [RequestReceived, ResponseStarted, AttemptEnded]
-            ends = stub.of(AttemptEnded)
-            assert [(e.outcome, e.request_finished) for e in ends] == [(Outcome.OK, True)] * 2
+            ended = stub.of(AttemptEnded)
+            assert [(e.outcome, e.request_finished) for e in ended] == [(Outcome.OK, True)] * 2
 
     run(body())
 
 
-def test_a_slow_client_holds_up_its_server_and_no_memory() -> None:
+def test_a_slow_client_slows_the_endpoint_down_without_using_memory() -> None:
     written = 0
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         nonlocal written
         await read_command(reader)
-        whole = resp.MAX_VALUE_BYTES
-        writer.write(b"*3\r\n$%d\r\n" % whole)
-        while written < whole:
+        size = resp.MAX_VALUE_BYTES
+        writer.write(b"*3\r\n$%d\r\n" % size)
+        while written < size:
             writer.write(bytes(1 << 16))
             written += 1 << 16
             await writer.drain()
@@ -128,13 +129,15 @@
             caller = await slow_caller(served, address)
             caller.writer.write(command())
             [client] = served.clients.connections
-            await until(lambda: client.is_write_paused)  # the client's window is full: it reads nothing
+            await until(
+                lambda: client.is_write_paused
+            )  # The receive window of the client is full, because it reads nothing.
             assert client.transport is not None
             [request] = served.requests.in_flight.values()
             assert request.streaming_attempt is not None and request.streaming_attempt.connection is not None
             await until(lambda: request.streaming_attempt.connection.is_read_paused)  # type: ignore[union-attr]
-            held = client.transport.get_write_buffer_size() + sum(map(len, request.slot.chunks))
-            assert held <= 3 * MAX_STREAM_WINDOW
+            buffered = client.transport.get_write_buffer_size() + sum(map(len, request.slot.chunks))
+            assert buffered <= 3 * MAX_STREAM_WINDOW
             assert await caller.answer() == bytes(resp.MAX_VALUE_BYTES)
             await until(lambda: not served.requests.in_flight and not served.pool.streaming)
             assert served.metrics.results["read", RequestResult.SUCCEEDED] == 1
@@ -142,13 +145,13 @@
     run(body())
 
 
-def test_a_long_value_waits_for_the_answers_before_it() -> None:
-    first = asyncio.Event()
+def test_a_long_value_waits_for_the_responses_before_it() -> None:
+    answer_first = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         if words[2] == b"slow":
-            await first.wait()
+            await answer_first.wait()
             writer.write(value(b"slow"))
         else:
             writer.write(HEAD + LONG + b"\r\n$-1\r\n$-1\r\n")
@@ -169,14 +172,14 @@
             )
             [waiting] = [r for r in served.requests.in_flight.values() if r.streaming_attempt]
             assert sum(map(len, waiting.slot.chunks)) < len(LONG) / 4
-            first.set()
+            answer_first.set()
             assert [await caller.answer(), await caller.answer()] == [b"slow", LONG]
 
     run(body())
 
 
 @pytest.mark.parametrize("ending", [b"", b"xx-ERR failed\r\n"])
-def test_what_cannot_be_finished_shows_as_broken_and_is_not_tried_again(ending: bytes) -> None:
+def test_a_value_that_cannot_be_completed_closes_the_connection_and_is_not_retried(ending: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
         cut = 1000 if not ending else len(LONG)
@@ -197,7 +200,7 @@
     run(body())
 
 
-def test_a_client_that_leaves_ends_the_attempt() -> None:
+def test_a_client_that_disconnects_ends_the_attempt() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
         writer.write(HEAD + LONG[:1000])
@@ -214,7 +217,7 @@
     run(body())
 
 
-def test_a_server_that_falls_silent_within_a_value_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_endpoint_that_goes_silent_within_a_value_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(backends, "SILENCE_TIMEOUT", 0.0)
     monkeypatch.setattr(backends, "SWEEP_INTERVAL", 0.01)
 
@@ -233,7 +236,7 @@
     run(body())
 
 
-def test_a_client_that_reads_nothing_for_long_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_stops_reading_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_timeouts, "STALL_TIMEOUT", 0.02)
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL", 0.01)
 
@@ -252,7 +255,7 @@
     run(body())
 
 
-def test_the_second_attempt_is_ended_by_first_bytes_of_the_other() -> None:
+def test_the_first_chunk_of_one_attempt_cancels_the_other() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
         if peer.connections == 2:
@@ -272,20 +275,21 @@
     run(body())
 
 
-def test_the_window_follows_the_limit_and_what_is_under_way() -> None:
+def test_the_stream_window_follows_the_limit_and_the_number_of_streams() -> None:
     budget = MemoryBudget(80 << 20)
     assert budget.stream_window() == MAX_STREAM_WINDOW
     budget.streaming_responses = 1000
-    small = budget.stream_window()
-    assert MIN_STREAM_WINDOW < small < MAX_STREAM_WINDOW and 2 * 1000 * small <= budget.capacity()
+    shared_window = budget.stream_window()
+    assert MIN_STREAM_WINDOW < shared_window < MAX_STREAM_WINDOW and 2 * 1000 * shared_window <= budget.capacity()
     assert MemoryBudget(160 << 20).capacity() > 2 * budget.capacity()
     budget.process_count = 2
     assert budget.capacity() < (80 << 20) - 2 * PROCESS_BASE_BYTES
-    budget.process_count, budget.used_elsewhere = 1, 10 << 20
-    assert budget.stream_window() < small
+    budget.process_count = 1
+    budget.used_elsewhere = 10 << 20
+    assert budget.stream_window() < shared_window
 
 
-def test_a_command_that_finds_no_room_is_refused() -> None:
+def test_a_command_that_does_not_fit_the_memory_budget_is_refused() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
             served.budget.command_bytes = served.budget.capacity()
--- a/tests/test_net_readiness.py
+++ b/tests/test_net_readiness.py
@@ -1,4 +1,4 @@
-"""From the start of the real process to its first +PONG, whatever discovery does, and on a core that is shared."""
+"""Start-up of the real process until its first +PONG, whatever discovery does, and on a shared CPU core."""
 
 from __future__ import annotations
 
@@ -17,42 +17,52 @@
 from tests.test_net_restart import free_port
 from tests.test_net_signals import Program, launched, no_fault
 
-READY_IN = 10.0  # s from the start to +PONG
-CPU = 1.5  # s, user and system, that a process may use until then
-TICKS = os.sysconf("SC_CLK_TCK")
-TOGETHER = 7  # processes that restart at once
-SERVERS = 200  # of a known list
+READY_TIMEOUT_S = 10.0  # From the start to +PONG.
+MAX_CPU_S = 1.5  # CPU time, user and system, that a process may use until then.
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+RESTART_COUNT = 7  # Processes that restart at the same time.
+ENDPOINT_COUNT = 200  # Endpoints in a large initial list.
 
 
-class Start(NamedTuple):
-    """s from the start of a process to its first +PONG."""
+class StartTimes(NamedTuple):
+    """The seconds from the start of a process to its first +PONG.
+
+    Attributes:
+        wall: The elapsed time.
+        cpu: The part of it on a CPU, user and system.
+        runnable: The part of it ready to run while other processes used the core.
+    """
 
     wall: float
-    cpu: float  # of them on the processor, user and system
-    stood: float  # of them ready to run, while others had the core
+    cpu: float
+    runnable: float
 
 
-def times(program: Program, began: float) -> Start:
+def times(program: Program, began: float) -> StartTimes:
+    """Return the times of a process that was started at `began`."""
     folder = Path(f"/proc/{program.process.pid}")
     fields = (folder / "stat").read_text(encoding="utf-8").rpartition(")")[2].split()
-    _, stood, _ = (folder / "schedstat").read_text(encoding="utf-8").split()
-    return Start(time.monotonic() - began, (int(fields[11]) + int(fields[12])) / TICKS, int(stood) / 1e9)
+    _, runnable, _ = (folder / "schedstat").read_text(encoding="utf-8").split()
+    return StartTimes(
+        time.monotonic() - began, (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND, int(runnable) / 1e9
+    )
 
 
-async def ready_after(program: Program, began: float) -> Start:
+async def ready_after(program: Program, began: float) -> StartTimes:
+    """Wait for the first +PONG of a process that was started at `began`; return its times."""
     while True:
         caller = await program.first_connection()
         try:
             assert await caller.ask(resp(b"PING")) == b"PONG"
         except (EOFError, ConnectionError):
             continue
-        found = times(program, began)
+        start = times(program, began)
         caller.writer.close()
-        return found
+        return start
 
 
-def agent(how: str) -> Peer:
-    """Discovery's agent while discovery is down."""
+def discovery_agent(how: str) -> Peer:
+    """Return a discovery agent that fails as `how` says: "silent", "busy" or "half" of a response."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
@@ -67,20 +77,20 @@
 
 
 @pytest.mark.parametrize("how", ["silent", "busy", "half", "refused"])
-@pytest.mark.parametrize("servers", [0, 1, SERVERS])
+@pytest.mark.parametrize("servers", [0, 1, ENDPOINT_COUNT])
 def test_it_is_ready_whatever_discovery_does(how: str, servers: int, tmp_path: Path) -> None:
     """And serves by the list that it knows, if it knows one."""
 
     async def body() -> None:
-        async with agent(how) as down, backend() as peer:
+        async with discovery_agent(how) as down, backend() as peer:
             host, port = ("127.0.0.1", free_port()) if how == "refused" else down.address
             known = [entry(peer.address, f"s{n}") for n in range(servers)]
             began = time.monotonic()
             async with launched(tmp_path, *known, discovery=f"{host}:{port}") as program:
                 start = await ready_after(program, began)
-                assert start.wall < READY_IN and start.cpu < CPU, start
+                assert start.wall < READY_TIMEOUT_S and start.cpu < MAX_CPU_S, start
                 while how != "refused" and not down.commands:
-                    await asyncio.sleep(0.005)  # it does ask
+                    await asyncio.sleep(0.005)  # The process must have asked discovery.
                 caller = await Caller.to(program.address)
                 answer = await caller.ask(command(d=1000))
                 assert answer == b"00000000000000aa" if servers else str(answer).startswith(("BUSY", "ERR")), answer
@@ -89,26 +99,28 @@
     run(body())
 
 
-def test_it_is_ready_while_its_servers_hang_and_clients_ask_from_the_first_moment(tmp_path: Path) -> None:
+def test_it_is_ready_while_its_endpoints_hang_and_clients_send_requests_from_the_start(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend(b"") as hanging, agent("silent") as down:
-            known = [entry(hanging.address, f"s{n}") for n in range(SERVERS)]
+        async with backend(b"") as hanging, discovery_agent("silent") as down:
+            known = [entry(hanging.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
             began = time.monotonic()
             async with launched(tmp_path, *known, discovery=f"127.0.0.1:{down.address[1]}") as program:
-                askers = []
+                callers = []
                 for number in range(50):
-                    askers.append(await program.first_connection())
-                    askers[-1].writer.write(command(f"{number}", customer=number))
+                    callers.append(await program.first_connection())
+                    callers[-1].writer.write(command(f"{number}", customer=number))
                 start = await ready_after(program, began)
-                assert start.wall < READY_IN and start.cpu < CPU, start
+                assert start.wall < READY_TIMEOUT_S and start.cpu < MAX_CPU_S, start
                 no_fault(program)
-                for asker in askers:
-                    asker.writer.close()
+                for caller in callers:
+                    caller.writer.close()
 
     run(body())
 
 
 def on_core(core: int) -> Callable[[], None]:
+    """Return a function that pins the calling process to a CPU core."""
+
     def pin() -> None:
         os.sched_setaffinity(0, {core})
 
@@ -116,17 +128,22 @@
 
 
 @pytest.mark.parametrize("how", ["refused", "busy"])
-def test_seven_that_restart_together_on_one_core_are_ready_in_time(how: str, tmp_path: Path) -> None:
-    """Killed outright under their clients, and started again under their names."""
+def test_seven_processes_that_restart_together_on_one_core_are_ready_in_time(how: str, tmp_path: Path) -> None:
+    """The processes are killed while clients are connected, and started again under the same names."""
 
     async def body() -> None:
         core = min(os.sched_getaffinity(0))
-        async with agent(how) as down, backend() as peer, AsyncExitStack() as first, AsyncExitStack() as second:
+        async with (
+            discovery_agent(how) as down,
+            backend() as peer,
+            AsyncExitStack() as first,
+            AsyncExitStack() as second,
+        ):
             port = free_port() if how == "refused" else down.address[1]
-            known = [entry(peer.address, f"s{n}") for n in range(SERVERS)]
+            known = [entry(peer.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
 
             async def starts(number: int, stack: AsyncExitStack, again: Address | None) -> Program:
-                folder = tmp_path / f"{number}-{again is not None}"  # empty at each start, and private
+                folder = tmp_path / f"{number}-{again is not None}"  # Empty at each start, and not shared.
                 folder.mkdir()
                 return await stack.enter_async_context(
                     launched(
@@ -139,9 +156,9 @@
                     )
                 )
 
-            programs = [await starts(number, first, None) for number in range(TOGETHER)]
+            programs = [await starts(number, first, None) for number in range(RESTART_COUNT)]
             callers = [await program.first_connection() for program in programs]
-            assert [await caller.ask(command()) for caller in callers] == [b"00000000000000aa"] * TOGETHER
+            assert [await caller.ask(command()) for caller in callers] == [b"00000000000000aa"] * RESTART_COUNT
             for program in programs:
                 program.process.send_signal(signal.SIGKILL)
             for program in programs:
@@ -151,11 +168,12 @@
                 began = time.monotonic()
                 program = await starts(number, second, before.address)
                 starting.append((program, asyncio.create_task(ready_after(program, began))))
-            found = [await task for _, task in starting]
-            assert max(start.cpu for start in found) < CPU, found
-            # Others work on the core as well: alone on it, the last is ready once all have had what they used.
-            rest = max(start.wall - start.cpu - start.stood for start in found)
-            assert sum(start.cpu for start in found) + rest < READY_IN / 2, found
+            starts_found = [await task for _, task in starting]
+            assert max(start.cpu for start in starts_found) < MAX_CPU_S, starts_found
+            # Other processes use the core as well. Without them, the last process would be ready once all of these have
+            # had the CPU time that they used, plus the time for which a process was not runnable.
+            blocked = max(start.wall - start.cpu - start.runnable for start in starts_found)
+            assert sum(start.cpu for start in starts_found) + blocked < READY_TIMEOUT_S / 2, starts_found
             for program, _ in starting:
                 caller = await Caller.to(program.address)
                 assert await caller.ask(command()) == b"00000000000000aa"
--- a/tests/test_net_signals.py
+++ b/tests/test_net_signals.py
@@ -1,4 +1,4 @@
-"""Signals to the real process at every time from its start to its end: what was taken is answered, nothing crashes."""
+"""Signals to the real process at any time from start to exit: accepted requests are answered, and nothing crashes."""
 
 from __future__ import annotations
 
@@ -39,16 +39,28 @@
 )
 from tests.test_net_restart import ROOT
 
-LONGEST = 2.0  # s: the longest deadline in the settings of the tests
-KILL = LONGEST + SIGKILL_DELAY  # s after SIGTERM: the earliest SIGKILL
-STUCK = 10.0  # s after which a process that should have ended is stuck
+LONGEST_DEADLINE_S = 2.0  # Of the request classes in the settings of the tests.
+KILL_DELAY_S = LONGEST_DEADLINE_S + SIGKILL_DELAY  # From SIGTERM to the earliest SIGKILL.
+EXIT_TIMEOUT_S = 10.0  # After which a process that should have exited counts as stuck.
 
 
 class Program:
-    """The real program as a process, with the lines of its log."""
+    """The real program as a process, with the lines of its log.
+
+    Attributes:
+        process: The process.
+        address: The address for clients.
+        control: The address of the admin server.
+        path: The path of the configuration file.
+        log: The lines of the log so far.
+        reading: The task that reads the log.
+    """
 
     def __init__(self, process: asyncio.subprocess.Process, address: Address, control: Address, path: Path) -> None:
-        self.process, self.address, self.control, self.path = process, address, control, path
+        self.process = process
+        self.address = address
+        self.control = control
+        self.path = path
         self.log: list[str] = []
         self.reading = asyncio.create_task(self._read())
 
@@ -58,21 +70,22 @@
             self.log.append(line.decode().rstrip("\n"))
 
     def logged(self, text: str) -> list[str]:
+        """Return the lines of the log that contain the text."""
         return [line for line in self.log if text in line]
 
     async def ended(self) -> int:
-        """The status, once the whole log is read."""
-        status = await asyncio.wait_for(self.process.wait(), STUCK)
+        """Wait for the exit of the process and the end of its log; return the exit status."""
+        status = await asyncio.wait_for(self.process.wait(), EXIT_TIMEOUT_S)
         await self.reading
         return status
 
     def catches(self, number: signal.Signals) -> bool:
-        """Whether the process has a handler for the signal."""
+        """Report whether the process has a handler for the signal."""
         text = Path(f"/proc/{self.process.pid}/status").read_text(encoding="utf-8")
         return bool(int(text.partition("SigCgt:")[2].split()[0], 16) >> (number - 1) & 1)
 
     async def first_connection(self) -> Caller:
-        """As soon as the process listens."""
+        """Connect as soon as the process listens."""
         while True:
             try:
                 return await Caller.to(self.address)
@@ -81,13 +94,13 @@
                 await asyncio.sleep(0.001)
 
     async def ready(self) -> None:
-        """Until it has replied +PONG."""
+        """Wait until the process has replied +PONG."""
         caller = await self.first_connection()
         assert await caller.ask(resp(b"PING")) == b"PONG"
         caller.writer.close()
 
     async def call(self, line: bytes) -> list[str]:
-        """The answer at the second address."""
+        """Send one line to the admin server and return the lines of its answer."""
         reader, writer = await asyncio.open_connection(*self.control)
         writer.write(line + b"\n")
         answer = await reader.read()
@@ -95,10 +108,10 @@
         return answer.decode().splitlines()
 
     def write(self, text: str) -> None:
-        """A new configuration file, replaced by rename as the platform does."""
-        other = self.path.with_suffix(".next")
-        other.write_text(text, encoding="utf-8")
-        other.rename(self.path)
+        """Replace the configuration file by a rename, as the deployment platform does."""
+        new_file = self.path.with_suffix(".next")
+        new_file.write_text(text, encoding="utf-8")
+        new_file.rename(self.path)
 
 
 @asynccontextmanager
@@ -109,9 +122,18 @@
     at: Address | None = None,
     **changes: Any,
 ) -> AsyncIterator[Program]:
-    """The program from its first moment on, `at` its address; `before` runs in the child before it."""
+    """Start the program and yield it at once, before it is ready.
+
+    Args:
+        folder: The folder of its files.
+        servers: The endpoints of its initial list.
+        before: A function that runs in the child process before the program.
+        at: The address for clients; None chooses a free port.
+        changes: Changes to its configuration.
+    """
     with socket.create_server(("127.0.0.1", 0)) as one, socket.create_server(("127.0.0.1", 0)) as other:
-        address, control = at or one.getsockname(), other.getsockname()
+        address = at or one.getsockname()
+        control = other.getsockname()
     path = folder / f"config-{address[1]}.json"
     path.write_text(
         config_text(*servers, listen=f"127.0.0.1:{address[1]}", control=f"127.0.0.1:{control[1]}", **changes),
@@ -138,68 +160,70 @@
 
 
 def fleet(peer: Peer) -> list[dict[str, Any]]:
+    """Return the entries of eight endpoints that are all the same peer."""
     return [entry(peer.address, f"s{n}") for n in range(8)]
 
 
 def no_fault(program: Program) -> None:
+    """Check that the log contains no traceback."""
     assert not program.logged("Traceback") and not program.logged("never retrieved"), program.log
 
 
-async def over(caller: Caller) -> None:
-    """Nothing more comes than the end of the connection; then the client ends it, too."""
+async def expect_close(caller: Caller) -> None:
+    """Check that the connection is closed without another answer; then close the client's side."""
     with pytest.raises((EOFError, ConnectionError)):
         pytest.fail(f"one more answer: {await caller.answer()!r}")
     caller.writer.close()
 
 
-# SIGTERM in the start
+# SIGTERM during start-up
 
 
 @pytest.mark.parametrize("caught", [None, signal.SIGHUP, signal.SIGTERM])
-def test_sigterm_before_it_listens_ends_it_in_time(caught: signal.Signals | None, tmp_path: Path) -> None:
-    """At its first moment, once it reads its configuration, and once it has its handler."""
+def test_sigterm_before_it_listens_makes_it_exit_in_time(caught: signal.Signals | None, tmp_path: Path) -> None:
+    """SIGTERM is sent at once, when the process has its SIGHUP handler, and when it has its SIGTERM handler."""
 
     async def body() -> None:
         async with launched(tmp_path) as program:
             while caught is not None and not program.catches(caught):
                 await asyncio.sleep(0)
             program.process.send_signal(signal.SIGTERM)
-            at = time.monotonic()
+            sigterm_at = time.monotonic()
             status = await program.ended()
-            assert time.monotonic() - at < KILL
+            assert time.monotonic() - sigterm_at < KILL_DELAY_S
             assert status in ((0,) if caught is signal.SIGTERM else (0, -signal.SIGTERM)), program.log
             no_fault(program)
 
     run(body())
 
 
-def test_a_request_that_meets_sigterm_just_as_it_listens_is_answered(tmp_path: Path) -> None:
+def test_a_request_sent_with_sigterm_as_the_process_starts_to_listen_is_answered(tmp_path: Path) -> None:
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
             caller = await program.first_connection()
             caller.writer.write(command("first"))
             program.process.send_signal(signal.SIGTERM)
-            at = time.monotonic()
+            sigterm_at = time.monotonic()
             assert await caller.answer() == b"first"
-            await over(caller)
+            await expect_close(caller)
             assert await program.ended() == 0, program.log
-            assert time.monotonic() - at < KILL
+            assert time.monotonic() - sigterm_at < KILL_DELAY_S
             no_fault(program)
 
     run(body())
 
 
-# In the drain
+# Signals during a drain
 
 
-def test_a_second_sigterm_cuts_nothing_off(tmp_path: Path) -> None:
+def test_a_second_sigterm_aborts_no_request(tmp_path: Path) -> None:
     async def body() -> None:
-        go = asyncio.Event()
+        answer = asyncio.Event()
 
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             words = await read_command(reader)
             peer.commands.append(words)
-            await go.wait()
+            await answer.wait()
             writer.write(value(words[2]))
             await reader.read()
 
@@ -212,24 +236,24 @@
             program.process.send_signal(signal.SIGTERM)
             await until(lambda: program.logged("n0 is draining"))
             program.process.send_signal(signal.SIGTERM)
-            late = await Caller.to(program.address)  # new ones still come
+            late = await Caller.to(program.address)  # New connections are still accepted.
             late.writer.write(command("late", d=1500))
             await until(lambda: len(peer.commands) == 2)
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGINT)
-            go.set()
+            answer.set()
             assert [await slow.answer(), await late.answer()] == [b"slow", b"late"]
-            await over(slow)
-            await over(late)
+            await expect_close(slow)
+            await expect_close(late)
             assert await program.ended() == 0, program.log
             no_fault(program)
 
     run(body())
 
 
-@pytest.mark.parametrize("since", ["n0 is draining", "n0 has stopped serving"])
-def test_sighup_after_sigterm_never_ends_it(since: str, tmp_path: Path) -> None:
-    """Again and again until it has exited: an ingress that ends on SIGHUP has crashed."""
+@pytest.mark.parametrize("log_line", ["n0 is draining", "n0 has stopped serving"])
+def test_sighup_after_sigterm_never_terminates_the_process(log_line: str, tmp_path: Path) -> None:
+    """SIGHUP is sent repeatedly until the exit; an ingress that SIGHUP terminates counts as crashed."""
 
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
@@ -237,36 +261,39 @@
             caller = await Caller.to(program.address)
             assert await caller.ask(command("one")) == b"one"
             program.process.send_signal(signal.SIGTERM)
-            await until(lambda: program.logged(since))
-            sent = 0
+            await until(lambda: program.logged(log_line))
+            sighup_count = 0
             while program.process.returncode is None:
                 program.process.send_signal(signal.SIGHUP)
-                sent += 1
+                sighup_count += 1
                 await asyncio.sleep(0.001)
-            assert await program.ended() == 0, f"{sent} times SIGHUP: {program.log[-3:]}"
+            assert await program.ended() == 0, f"{sighup_count} times SIGHUP: {program.log[-3:]}"
             assert program.logged("n0 has stopped serving")
             no_fault(program)
 
     run(body())
 
 
-@pytest.mark.parametrize("partly", [b"", b"*3\r\n$5\r\nhel"])
-def test_while_all_servers_hang_each_request_gets_its_one_answer_before_sigkill(partly: bytes, tmp_path: Path) -> None:
+@pytest.mark.parametrize("partial_response", [b"", b"*3\r\n$5\r\nhel"])
+def test_while_all_endpoints_hang_each_request_gets_one_answer_before_sigkill(
+    partial_response: bytes, tmp_path: Path
+) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
             peer.commands.append(await read_command(reader))
-            writer.write(partly)
+            writer.write(partial_response)
 
     async def body() -> None:
         async with peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             callers = [await Caller.to(program.address) for _ in range(6)]
             for number, caller in enumerate(callers):
-                cls, d = ("read", "order")[number % 2], (60_000, 1_900)[number // 2 % 2]
+                cls = ("read", "order")[number % 2]
+                d = (60_000, 1_900)[number // 2 % 2]
                 caller.writer.write(b"".join(command(f"{number}-{n}", cls, d, customer=number) for n in range(2)))
             await until(lambda: len(peer.commands) >= 2)
             program.process.send_signal(signal.SIGTERM)
-            at = time.monotonic()
+            sigterm_at = time.monotonic()
             late = await Caller.to(program.address)
             late.writer.write(command("late", d=60_000))
 
@@ -274,30 +301,35 @@
                 for _ in range(count):
                     answer = await caller.answer()
                     assert isinstance(answer, hiredis.ReplyError), answer
-                assert time.monotonic() - at < KILL
-                await over(caller)
+                assert time.monotonic() - sigterm_at < KILL_DELAY_S
+                await expect_close(caller)
 
             await asyncio.gather(answers(late, 1), *(answers(caller, 2) for caller in callers))
             assert await program.ended() == 0, program.log
-            assert time.monotonic() - at < KILL
+            assert time.monotonic() - sigterm_at < KILL_DELAY_S
             no_fault(program)
 
     peer = Peer(script)
     run(body())
 
 
-def test_requests_on_kept_connections_all_through_a_drain_are_answered_or_not_sent_on(tmp_path: Path) -> None:
-    """Answered is served or refused.  A connection is closed between two requests; one that crosses the close is for
-    its client to send anew, and so no server may get it."""
+def test_requests_on_open_connections_during_a_drain_are_answered_or_not_forwarded(tmp_path: Path) -> None:
+    """Each request is served, refused or not forwarded.
+
+    A connection is closed between two requests. A request that crosses the close is sent again by its client, so no
+    endpoint may receive it.
+    """
 
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            answered, crossed = list[bytes](), list[bytes]()
-            drains = False
+            answered = list[bytes]()
+            crossed = list[bytes]()
+            is_draining = False
 
-            async def keep(number: int) -> None:
-                caller, count = await Caller.to(program.address), 0
+            async def send_requests(number: int) -> None:
+                caller = await Caller.to(program.address)
+                count = 0
                 while True:
                     count += 1
                     request = f"{number:08x}{count:08x}"
@@ -312,24 +344,24 @@
                         answered.append(answer)
                     else:
                         assert str(answer).startswith("BUSY"), answer
-                    await asyncio.sleep(0.01 if not drains else number % 8 * 0.0005)
+                    await asyncio.sleep(0.01 if not is_draining else number % 8 * 0.0005)
 
-            keeping = [asyncio.create_task(keep(number)) for number in range(24)]
+            sending = [asyncio.create_task(send_requests(number)) for number in range(24)]
             await until(lambda: len(answered) > 100)
-            drains = True
+            is_draining = True
             program.process.send_signal(signal.SIGTERM)
-            await asyncio.gather(*keeping)
+            await asyncio.gather(*sending)
             assert await program.ended() == 0, program.log
-            reached = Counter(words[2] for words in peer.commands)
-            assert len(crossed) == 24 and not [request for request in crossed if reached[request]]
-            assert all(reached[request] == 1 for request in answered)
+            forwarded = Counter(words[2] for words in peer.commands)
+            assert len(crossed) == 24 and not [request for request in crossed if forwarded[request]]
+            assert all(forwarded[request] == 1 for request in answered)
             no_fault(program)
 
     run(body())
 
 
-def test_requests_that_lie_unread_as_connections_are_closed_are_answered(tmp_path: Path) -> None:
-    """The process stands still in its drain until it is late to close them, and they come meanwhile."""
+def test_requests_that_are_unread_when_connections_are_due_to_be_closed_are_answered(tmp_path: Path) -> None:
+    """Requests arrive while the process is stopped in its drain, past the time at which it would close connections."""
 
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
@@ -342,12 +374,12 @@
             program.process.send_signal(signal.SIGSTOP)
             for number, caller in enumerate(callers):
                 caller.writer.write(command(f"{number}", customer=number))
-            await asyncio.sleep(0.8)  # longer than it serves on in a drain
+            await asyncio.sleep(0.8)  # Longer than open connections are served during a drain.
             program.process.send_signal(signal.SIGCONT)
             for number, caller in enumerate(callers):
                 answer = await caller.answer()
                 assert answer == b"%d" % number or str(answer).startswith("BUSY"), answer
-                await over(caller)
+                await expect_close(caller)
             assert await program.ended() == 0, program.log
             no_fault(program)
 
@@ -358,23 +390,24 @@
 
 
 @pytest.mark.parametrize("gap", [None, 0.0, 0.01, 0.03])
-def test_sigterm_in_the_middle_of_a_reload_loses_nothing(gap: float | None, tmp_path: Path) -> None:
-    """A file that takes some time to read; None: SIGTERM is first."""
+def test_sigterm_during_a_reload_loses_no_request(gap: float | None, tmp_path: Path) -> None:
+    """The file takes some time to read; SIGTERM follows SIGHUP after `gap` seconds, or precedes it if that is None."""
 
     async def body() -> None:
-        go = asyncio.Event()
+        answer = asyncio.Event()
 
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             words = await read_command(reader)
             peer.commands.append(words)
-            await go.wait()
+            await answer.wait()
             writer.write(value(words[2]))
             await reader.read()
 
         peer = Peer(script)
         async with peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            slow, idle = await Caller.to(program.address), await Caller.to(program.address)
+            slow = await Caller.to(program.address)
+            idle = await Caller.to(program.address)
             slow.writer.write(command("slow", d=1900))
             assert await idle.ask(resp(b"SELECT", b"0")) == b"OK"
             await until(lambda: peer.commands)
@@ -388,21 +421,21 @@
             if gap is not None:
                 await asyncio.sleep(gap)
                 program.process.send_signal(signal.SIGTERM)
-            at = time.monotonic()
-            go.set()
+            sigterm_at = time.monotonic()
+            answer.set()
             assert await slow.answer() == b"slow"
-            await over(idle)
-            await over(slow)
+            await expect_close(idle)
+            await expect_close(slow)
             assert await program.ended() == 0, program.log
-            assert time.monotonic() - at < KILL
+            assert time.monotonic() - sigterm_at < KILL_DELAY_S
             no_fault(program)
 
     run(body())
 
 
-def test_a_bad_file_at_sighup_is_one_clear_line_and_the_old_one_is_kept(tmp_path: Path) -> None:
+def test_an_invalid_file_at_sighup_is_logged_in_one_line_and_the_active_configuration_stays(tmp_path: Path) -> None:
     plan = SETTINGS["contracts"][0]
-    bad: list[tuple[str | None, tuple[str, ...]]] = [
+    invalid_files: list[tuple[str | None, tuple[str, ...]]] = [
         ("{", ("EDGE_CONFIG", "not JSON")),
         ("", ("EDGE_CONFIG", "not JSON")),
         ("[]", ("EDGE_CONFIG",)),
@@ -423,10 +456,10 @@
             before = await program.call(b"show-config")
             caller = await Caller.to(program.address)
             start = len(program.log)
-            for number, (text, words) in enumerate(bad):
+            for number, (text, words) in enumerate(invalid_files):
                 if text is None:
                     program.path.unlink()
-                else:  # where it would listen is not what is wrong with it
+                else:  # The listening address must not be what is invalid.
                     listen = f"127.0.0.1:{program.address[1]}"
                     program.write(text.replace("127.0.0.1:0", listen))
                 program.process.send_signal(signal.SIGHUP)
@@ -445,7 +478,7 @@
             program.process.send_signal(signal.SIGHUP)
             await until(lambda: program.logged("generation 2"))
             lines = program.log[start : program.log.index(program.logged("generation 2")[0])]
-            assert len(lines) == len(bad) and all(line.startswith("ERROR ") for line in lines), lines
+            assert len(lines) == len(invalid_files) and all(line.startswith("ERROR ") for line in lines), lines
             assert await caller.ask(command("after")) == b"after"
             program.process.send_signal(signal.SIGTERM)
             assert await program.ended() == 0
@@ -453,36 +486,37 @@
     run(body())
 
 
-def test_reloads_without_end_hold_up_no_request_and_no_end(tmp_path: Path) -> None:
-    """SIGHUP every few milliseconds, before and through the drain."""
+def test_continuous_reloads_delay_neither_requests_nor_the_exit(tmp_path: Path) -> None:
+    """SIGHUP is sent every few milliseconds, before and during the drain."""
 
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             stop = asyncio.Event()
 
-            async def storm() -> None:
+            async def send_sighups() -> None:
                 while not stop.is_set():
                     program.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.002)
 
-            caller, storming = await Caller.to(program.address), asyncio.create_task(storm())
+            caller = await Caller.to(program.address)
+            sending = asyncio.create_task(send_sighups())
             for n in range(50):
                 assert await caller.ask(command(f"{n:016x}", d=1000)) == b"%016x" % n
             program.process.send_signal(signal.SIGTERM)
-            at = time.monotonic()
-            await over(caller)
-            assert time.monotonic() - at < KILL
+            sigterm_at = time.monotonic()
+            await expect_close(caller)
+            assert time.monotonic() - sigterm_at < KILL_DELAY_S
             stop.set()
-            await storming
+            await sending
             assert await program.ended() == 0, program.log
             no_fault(program)
 
     run(body())
 
 
-def test_a_listener_that_is_gone_is_free_for_the_next(tmp_path: Path) -> None:
-    """A planned restart under the same address: nothing of the one before stands in the way."""
+def test_the_address_of_an_exited_process_can_be_bound_again(tmp_path: Path) -> None:
+    """A planned restart uses the same address; nothing of the previous process may block it."""
 
     async def body() -> None:
         async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
--- a/tests/test_net_upload.py
+++ b/tests/test_net_upload.py
@@ -1,4 +1,4 @@
-"""Long values of requests: passed on in pieces, with back-pressure, to one attempt and no other."""
+"""Long request bodies: forwarded in chunks, with back-pressure, to a single attempt."""
 
 from __future__ import annotations
 
@@ -25,24 +25,27 @@
 HEAD = UPLOAD.index(LONG)
 
 
-def echo() -> Peer:
-    """Answers with the length of the last word."""
+def length_endpoint() -> Peer:
+    """Return an endpoint that answers with the length of the last argument."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
-            found = await read_command(reader)
-            peer.commands.append(found)
-            writer.write(value(b"%d" % len(found[-1])))
+            arguments = await read_command(reader)
+            peer.commands.append(arguments)
+            writer.write(value(b"%d" % len(arguments[-1])))
 
     peer = Peer(script)
     return peer
 
 
 @pytest.mark.parametrize("step", [1, 3, 1000, 1 << 20])
-def test_commands_are_cut_alike_however_they_come(step: int) -> None:
+def test_commands_are_split_alike_whatever_the_read_sizes(step: int) -> None:
     body = bytes(70_000)
     data = words(b"PING") + words(b"API.WRITE", b"x", body) + words(b"PING", b"*1")
-    frames, parsed, passed, left = CommandScanner(64), b"", b"", 0
+    frames = CommandScanner(64)
+    parsed = b""
+    passed = b""
+    left = 0
     for at in range(0, len(data), step):
         rest = data[at : at + step]
         while rest:
@@ -58,10 +61,10 @@
 
 
 @pytest.mark.parametrize("step", [1 << 10, 1 << 16, 1 << 21])
-def test_a_long_value_comes_to_the_server_as_it_was_sent(step: int) -> None:
+def test_a_long_body_reaches_the_endpoint_unchanged(step: int) -> None:
     async def body() -> None:
         async with (
-            echo() as peer,
+            length_endpoint() as peer,
             serving(config(*(entry(peer.address, f"s{n}") for n in range(8)))) as (served, address),
         ):
             caller = await Caller.to(address)
@@ -81,12 +84,12 @@
     run(body())
 
 
-def test_pieces_are_passed_on_before_the_last_has_come_and_time_runs_from_then() -> None:
-    got = asyncio.Event()
+def test_chunks_are_forwarded_before_the_last_is_received_and_the_timeout_starts_with_the_last() -> None:
+    first_received = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readexactly(HEAD + 100)
-        got.set()
+        first_received.set()
         await reader.readexactly(len(UPLOAD) - HEAD - 100)
         writer.write(value(b"served"))
         await reader.read()
@@ -98,8 +101,8 @@
             data = UPLOAD.replace(b"d=2000", b"d=0300")
             caller = await Caller.to(address)
             caller.writer.write(data[: HEAD + 100])
-            await got.wait()
-            await asyncio.sleep(0.4)  # longer than the client waits for an answer
+            await first_received.wait()
+            await asyncio.sleep(0.4)  # Longer than the timeout of the request.
             assert served.metrics.attempts_sent == 0
             caller.writer.write(data[HEAD + 100 :])
             assert await caller.answer() == b"served"
@@ -109,22 +112,22 @@
     run(body())
 
 
-class Narrow(socket.socket):
-    """With a send buffer that the system does not widen until it holds the whole value."""
+class SmallBufferSocket(socket.socket):
+    """A socket with a fixed small send buffer, which the kernel does not grow until the whole value fits in it."""
 
-    def __init__(self, *args: Any, **more: Any) -> None:
-        super().__init__(*args, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         self.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 16)
 
 
-def test_a_slow_server_holds_up_the_client_and_no_memory(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(socket, "socket", Narrow)
-    go_on = asyncio.Event()
+def test_a_slow_endpoint_slows_the_client_down_without_using_memory(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(socket, "socket", SmallBufferSocket)
+    read_on = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        await go_on.wait()
-        found = await read_command(reader)
-        writer.write(value(b"%d" % len(found[-1])))
+        await read_on.wait()
+        arguments = await read_command(reader)
+        writer.write(value(b"%d" % len(arguments[-1])))
         await reader.read()
 
     async def body() -> None:
@@ -138,17 +141,17 @@
             [request] = served.requests.in_flight.values()
             assert request.upload is not None
             attempt = next(iter(served.requests.attempts_in_flight.values()))
-            held = sum(map(len, request.upload.chunks))
+            buffered = sum(map(len, request.upload.chunks))
             if isinstance(attempt.connection, Connection) and attempt.connection.transport is not None:
-                held += attempt.connection.transport.get_write_buffer_size()
-            assert held <= 3 * MAX_STREAM_WINDOW
-            go_on.set()
+                buffered += attempt.connection.transport.get_write_buffer_size()
+            assert buffered <= 3 * MAX_STREAM_WINDOW
+            read_on.set()
             assert await caller.answer() == b"%d" % resp.MAX_VALUE_BYTES
 
     run(body())
 
 
-def test_no_other_attempt_replaces_one_that_has_pieces() -> None:
+def test_no_other_attempt_replaces_one_that_has_received_chunks() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readexactly(HEAD + 100)
 
@@ -160,10 +163,12 @@
             caller = await Caller.to(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
             answer = str(await caller.answer())
-            assert answer.startswith("BUSY")  # it broke before the last byte: it never ran
+            assert answer.startswith(
+                "BUSY"
+            )  # The connection broke before the last byte, so the request was not executed.
             assert peer.connections == 1
             caller.writer.write(UPLOAD[HEAD + 100 :] + command("next"))
-            await until(lambda: served.requests.received_count == 2)  # the rest is read and dropped
+            await until(lambda: served.requests.received_count == 2)  # The remaining body is read and dropped.
             assert served.budget.streaming_uploads == 0
 
     run(body())
@@ -172,7 +177,7 @@
 def test_an_attempt_that_never_connected_is_replaced() -> None:
     async def body() -> None:
         async with (
-            echo() as peer,
+            length_endpoint() as peer,
             serving(config(entry(("127.0.0.1", 1)), entry(peer.address, "s2"))) as (served, address),
         ):
 
@@ -188,7 +193,7 @@
     run(body())
 
 
-def test_a_client_that_leaves_within_its_value_ends_the_attempt() -> None:
+def test_a_client_that_disconnects_during_its_upload_ends_the_attempt() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readexactly(HEAD + 100)
         peer.commands.append([])
@@ -207,12 +212,12 @@
     run(body())
 
 
-def test_a_client_silent_within_its_value_is_let_go(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_client_that_is_silent_during_its_upload_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upload_reader, "CHUNK_TIMEOUT", 0.0)
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
-        async with echo() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with length_endpoint() as peer, serving(config(entry(peer.address))) as (served, address):
             caller = await Caller.to(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
             with pytest.raises((EOFError, ConnectionError)):
@@ -232,7 +237,7 @@
         UPLOAD[:-2] + b"xx",
     ],
 )
-def test_a_long_value_that_makes_no_sense_ends_the_connection(data: bytes) -> None:
+def test_a_malformed_long_body_closes_the_connection(data: bytes) -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
             caller = await Caller.to(address)
@@ -245,8 +250,8 @@
     run(body())
 
 
-def test_a_value_that_was_held_up_here_is_not_late_as_it_is_read_on() -> None:
-    """The sweep comes between: its client could send nothing meanwhile."""
+def test_an_upload_paused_by_the_ingress_is_not_overdue_when_it_resumes() -> None:
+    """The sweep runs in between; the client could not send anything while reading was paused."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
@@ -259,7 +264,7 @@
             clock = served.clients.clock
             served.clients.clock = lambda: clock() + skipped
             client_timeouts.check_timeouts(client, served.clients.clock())
-            assert not client.is_closing  # held, for however long
+            assert not client.is_closing  # A paused upload never times out.
             client.pause_upload(False)
             client_timeouts.check_timeouts(client, served.clients.clock())
             assert not client.is_closing
@@ -269,8 +274,8 @@
     run(body())
 
 
-def test_a_command_that_is_not_read_here_is_not_late() -> None:
-    """Half of it came before the pause of a client far ahead; no time runs while nothing is read."""
+def test_a_command_that_the_ingress_does_not_read_is_not_overdue() -> None:
+    """Half a command was received before reading paused for a full pipeline; no timeout runs during the pause."""
 
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
--- a/tests/test_start_up.py
+++ b/tests/test_start_up.py
@@ -1,4 +1,4 @@
-"""Start-up, which every upgrade pays: what the program imports."""
+"""Start-up time, which every upgrade incurs: limits on what the program imports."""
 
 from __future__ import annotations
 
@@ -6,16 +6,17 @@
 import sys
 
 
-def loaded() -> set[str]:
+def loaded_modules() -> set[str]:
+    """Return the names of all modules that the program imports."""
     code = "import sys, ingress.__main__; print(*sys.modules)"
     return set(subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True).stdout.split())
 
 
-def test_the_program_loads_no_web_client() -> None:
-    assert "ingress.discovery.client" in loaded()
-    assert not {"aiohttp", "http.client", "urllib.request", "email"} & loaded()
+def test_the_program_imports_no_http_client_library() -> None:
+    assert "ingress.discovery.client" in loaded_modules()
+    assert not {"aiohttp", "http.client", "urllib.request", "email"} & loaded_modules()
 
 
-def test_the_program_generates_no_code_for_its_data() -> None:
-    """Each dataclass compiles its methods at import, which took a third of a start."""
-    assert "msgspec" in loaded() and "dataclasses" not in loaded()
+def test_the_program_imports_no_dataclasses() -> None:
+    """Each dataclass compiles its methods at import, which took a third of the start-up time."""
+    assert "msgspec" in loaded_modules() and "dataclasses" not in loaded_modules()
