--- a/ingress/__main__.py
+++ b/ingress/__main__.py
@@ -26,7 +26,7 @@
 SCHEDULER_PAUSE = 0.001  # Seconds to sleep before the listening socket is opened, see `serve`.
 
 
-async def follow(path: str, ingress: Ingress, reload: asyncio.Event) -> None:
+async def reload_on_event(path: str, ingress: Ingress, reload: asyncio.Event) -> None:
     """Reload the configuration file each time `reload` is set; a rejected configuration changes nothing."""
     while True:
         await reload.wait()
@@ -68,7 +68,7 @@
         # meanwhile would have to wait.
         await asyncio.sleep(SCHEDULER_PAUSE)
     ingress = Ingress(config, received_handover=received_handover, path=socket_path(config.listen))
-    reload_task = loop.create_task(follow(path, ingress, reload))
+    reload_task = loop.create_task(reload_on_event(path, ingress, reload))
     await ingress.run(stop)
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     reload_task.cancel()
--- a/ingress/server/listener.py
+++ b/ingress/server/listener.py
@@ -15,7 +15,7 @@
 # Minimum length of the accept queue, in which the kernel holds connections while this process is busy. The queue is
 # longer if the process may have more connections open.
 MIN_BACKLOG = 512
-BATCH = 32  # Connections accepted in one iteration of the event loop; requests are served between batches.
+ACCEPT_BATCH_SIZE = 32  # Connections accepted in one iteration of the event loop; requests are served between batches.
 EXHAUSTED_PAUSE = 0.2  # Seconds for which accepting pauses after descriptors have run out.
 
 # Errors of `accept` which mean that this process or the system has run out of descriptors or memory.
@@ -116,7 +116,7 @@
 
     def _batch(self) -> bool:
         """Accept up to one batch of queued connections; return whether there may be more."""
-        for _ in range(BATCH):
+        for _ in range(ACCEPT_BATCH_SIZE):
             try:
                 sock, address = self.socket.accept()
             except BlockingIOError:
--- a/tests/test_net_bad_peers.py
+++ b/tests/test_net_bad_peers.py
@@ -38,7 +38,7 @@
     value,
 )
 from tests.test_net_ingress import serving
-from tests.test_net_signals import fleet, launched, no_fault
+from tests.test_net_signals import check_no_traceback, fleet, launched
 
 PAY = {"name": "pay", "aim-s": 1.0, "give-up-s": 2.0, "importance": 1.0, "semantics": "unsafe"}
 UNSAFE = SETTINGS | {"categories": [*SETTINGS["categories"], PAY]}
@@ -519,7 +519,7 @@
             assert not late
             assert slowest < 1.0
             assert all(words[2].startswith(b"good") for words in peer.commands)  # No malformed input was forwarded.
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -542,7 +542,7 @@
             assert not peer.commands
             caller = await Caller.to(program.address)
             assert await caller.ask(command()) == b"00000000000000aa"
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
--- a/tests/test_net_changes.py
+++ b/tests/test_net_changes.py
@@ -19,7 +19,7 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from ingress.__main__ import follow
+from ingress.__main__ import reload_on_event
 from ingress.configuration.document import Config, read_config
 from ingress.configuration.versions import MAX_VERSIONS, ConfigVersions, differences
 from ingress.decisions.events import SettingsChanged
@@ -679,7 +679,7 @@
                 raise RuntimeError("a fault")
 
             monkeypatch.setattr("ingress.__main__.load_config", faulty)
-            task = asyncio.create_task(follow(str(path), served, reload))
+            task = asyncio.create_task(reload_on_event(str(path), served, reload))
             reload.set()
             await until(lambda: any("a fault" in line for line in served.changes.versions.lines()))
             reload.set()
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -179,7 +179,7 @@
             surge = [socket.create_connection(address) for _ in range(200)]  # the event loop is blocked meanwhile
             assert await steady.ask(command("1" * 16)) == b"1" * 16
             await until(lambda: len(served.clients.connections) == 201)
-            assert max(batches) <= listener.BATCH < 200 and sum(batches) == 200
+            assert max(batches) <= listener.ACCEPT_BATCH_SIZE < 200 and sum(batches) == 200
             for sock in surge:
                 sock.close()
 
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -20,7 +20,7 @@
 from tests.peers import Address, Caller, Reader, Writer, backend, command, entry, resp, run
 from tests.test_net_discovery import listing
 from tests.test_net_restart import free_port
-from tests.test_net_signals import Program, launched, no_fault
+from tests.test_net_signals import Program, check_no_traceback, launched
 
 MAX_DESCRIPTORS = 128  # Descriptors that the process may open, by its configuration and by its resource limit.
 MIN_ACCEPTED = 40  # Client connections that it accepts at least under that limit.
@@ -241,7 +241,7 @@
                 for caller in silent:
                     caller.writer.close()
                 idle.close()
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -274,6 +274,6 @@
                 caller.writer.close()
             finally:
                 idle.close()
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
--- a/tests/test_net_figures.py
+++ b/tests/test_net_figures.py
@@ -26,7 +26,7 @@
 from tests.test_net_ingress import Stub, send, serving
 
 
-async def figures(served: Ingress) -> dict[str, int]:
+async def read_metrics(served: Ingress) -> dict[str, int]:
     """Return the metrics in the answer to `show-stat`, after a check of their types."""
     lines = (await call(served, b"show-stat")).splitlines()
     assert lines.pop() == "eof"
@@ -66,7 +66,7 @@
             disconnecting = await Caller.to(address)
             disconnecting.writer.write(command("gone"))
             await until(lambda: served.metrics.attempts_sent == 2)
-            metrics = await figures(served)
+            metrics = await read_metrics(served)
             assert metrics["outstanding"] == 1 and metrics["forwards"] == 2 and metrics["discovered"] == 1
             disconnecting.writer.close()
             await until(lambda: not served.requests.in_flight)
@@ -74,7 +74,7 @@
             await caller.ask(command("too many"))
             shown = {
                 name: count
-                for name, count in (await figures(served)).items()
+                for name, count in (await read_metrics(served)).items()
                 if not name.startswith(("loop.", "connections."))
             }
             assert (shown.pop("list.version"), shown.pop("list.age_ms")) == (1, -1)  # Discovery has not answered.
@@ -111,8 +111,8 @@
         ):
             caller = await Caller.to(address)
             async with asyncio.timeout(10):
-                while (await figures(served))["ejected"] != 1:
+                while (await read_metrics(served))["ejected"] != 1:
                     await caller.ask(command())
-            assert (await figures(served))["discovered"] == 2
+            assert (await read_metrics(served))["discovered"] == 2
 
     run(body())
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -38,7 +38,7 @@
 )
 from tests.test_net_backends import PoolUnderTest
 from tests.test_net_control import SECOND
-from tests.test_net_figures import figures
+from tests.test_net_figures import read_metrics
 from tests.test_net_ingress import Stub, serving
 
 PROBING = SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}, "prices": {"probe": 0.01}}
@@ -113,7 +113,7 @@
                 is_failing.set()
                 while not served.gateway.health()["ejections"]:
                     await caller.ask(command())
-                shown = await figures(served)
+                shown = await read_metrics(served)
                 assert shown["health.ejected"] == shown["ejected"] == 1
                 assert shown["ejections.error"] == 1 and shown["health.healthy"] == 3
                 is_failing.clear()
@@ -121,7 +121,7 @@
                 while health.status.value != "healthy":
                     await caller.ask(command())
                     await asyncio.sleep(0.002)
-                shown = await figures(served)
+                shown = await read_metrics(served)
                 assert shown["probes"] == pings >= 1 and shown["ejected"] == 0
                 assert shown["results.read.aborted"] == 0
 
--- a/tests/test_net_readiness.py
+++ b/tests/test_net_readiness.py
@@ -15,7 +15,7 @@
 
 from tests.peers import Address, Caller, Peer, Reader, Writer, backend, command, entry, resp, run
 from tests.test_net_restart import free_port
-from tests.test_net_signals import Program, launched, no_fault
+from tests.test_net_signals import Program, check_no_traceback, launched
 
 READY_TIMEOUT_S = 10.0  # From the start to +PONG.
 MAX_CPU_S = 1.5  # CPU time, user and system, that a process may use until then.
@@ -94,7 +94,7 @@
                 caller = await Caller.to(program.address)
                 answer = await caller.ask(command(d=1000))
                 assert answer == b"00000000000000aa" if servers else str(answer).startswith(("BUSY", "ERR")), answer
-                no_fault(program)
+                check_no_traceback(program)
 
     run(body())
 
@@ -111,7 +111,7 @@
                     callers[-1].writer.write(command(f"{number}", customer=number))
                 start = await ready_after(program, began)
                 assert start.wall < READY_TIMEOUT_S and start.cpu < MAX_CPU_S, start
-                no_fault(program)
+                check_no_traceback(program)
                 for caller in callers:
                     caller.writer.close()
 
@@ -177,6 +177,6 @@
             for program, _ in starting:
                 caller = await Caller.to(program.address)
                 assert await caller.ask(command()) == b"00000000000000aa"
-                no_fault(program)
+                check_no_traceback(program)
 
     run(body())
--- a/tests/test_net_signals.py
+++ b/tests/test_net_signals.py
@@ -164,7 +164,7 @@
     return [entry(peer.address, f"s{n}") for n in range(8)]
 
 
-def no_fault(program: Program) -> None:
+def check_no_traceback(program: Program) -> None:
     """Check that the log contains no traceback."""
     assert not program.logged("Traceback") and not program.logged("never retrieved"), program.log
 
@@ -192,7 +192,7 @@
             status = await program.ended()
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
             assert status in ((0,) if caught is signal.SIGTERM else (0, -signal.SIGTERM)), program.log
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -208,7 +208,7 @@
             await expect_close(caller)
             assert await program.ended() == 0, program.log
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -246,7 +246,7 @@
             await expect_close(slow)
             await expect_close(late)
             assert await program.ended() == 0, program.log
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -269,7 +269,7 @@
                 await asyncio.sleep(0.001)
             assert await program.ended() == 0, f"{sighup_count} times SIGHUP: {program.log[-3:]}"
             assert program.logged("n0 has stopped serving")
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -307,7 +307,7 @@
             await asyncio.gather(answers(late, 1), *(answers(caller, 2) for caller in callers))
             assert await program.ended() == 0, program.log
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
-            no_fault(program)
+            check_no_traceback(program)
 
     peer = Peer(script)
     run(body())
@@ -355,7 +355,7 @@
             forwarded = Counter(words[2] for words in peer.commands)
             assert len(crossed) == 24 and not [request for request in crossed if forwarded[request]]
             assert all(forwarded[request] == 1 for request in answered)
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -381,7 +381,7 @@
                 assert answer == b"%d" % number or str(answer).startswith("BUSY"), answer
                 await expect_close(caller)
             assert await program.ended() == 0, program.log
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -428,7 +428,7 @@
             await expect_close(slow)
             assert await program.ended() == 0, program.log
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
@@ -510,7 +510,7 @@
             stop.set()
             await sending
             assert await program.ended() == 0, program.log
-            no_fault(program)
+            check_no_traceback(program)
 
     run(body())
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -21,7 +21,7 @@
 from ingress.endpoint_registry.relay import Relay, RelayCache
 from tests.peers import STARTED, Caller, Peer, Reader, Writer, command, config, read_command, value
 from tests.test_net_control import SECOND
-from tests.test_net_figures import figures
+from tests.test_net_figures import read_metrics
 from tests.test_net_ingress import serving as ingress
 from tests.test_net_restart import free_port
 from tests.test_registry import ROOT, TOKEN, Client, row, run, serving
@@ -249,7 +249,7 @@
                         await asyncio.sleep(0.02)
 
                 flows = [asyncio.create_task(flow(number)) for number in range(4)]
-                version = (await figures(served))["list.version"]
+                version = (await read_metrics(served))["list.version"]
                 for turn, name in enumerate("bcabca"):
                     if turn % 2:  # killed and started, in the midst of it
                         child.send_signal(signal.SIGKILL)
@@ -265,13 +265,13 @@
                     assert status == 200
                     told_gone[gone] = time.monotonic()
                     await until(lambda n=gone: n not in served.pool.addresses())
-                    now = (await figures(served))["list.version"]
+                    now = (await read_metrics(served))["list.version"]
                     assert now > version
                     version = now
                 await asyncio.sleep(2.2)  # long enough for a request to come too late
                 over.set()
                 await asyncio.gather(*flows)
-                assert (await figures(served))["list.age_ms"] >= 0
+                assert (await read_metrics(served))["list.age_ms"] >= 0
             served_well = answers.count(b"00000000000000aa")
             # The rest is refused, harmlessly: a server that is new gets one request at a time.
             assert {str(a) for a in answers if a != b"00000000000000aa"} <= {"BUSY 10"}
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -32,7 +32,7 @@
 from ingress.observability.summary import summarize
 from ingress.observability.terminal import MAX_LINES, render
 from tests.peers import Caller, Peer, Reader, Writer, backend, command, entry, run, until
-from tests.test_net_signals import launched, no_fault
+from tests.test_net_signals import check_no_traceback, launched
 
 GATEWAYS, SERVERS, MANY_SERVERS = 230, 600, 3_000
 SETTINGS = Settings(
@@ -226,7 +226,7 @@
                 # One connection of a client, and one more for a call to discovery that may be under way.
                 assert held() <= idle + 2 + SUBSET_SIZE
                 assert peer.connections <= SUBSET_SIZE
-                no_fault(program)
+                check_no_traceback(program)
                 caller.writer.close()
 
     run(body())
