--- a/ingress/decisions/__init__.py
+++ b/ingress/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision of an ingress, as a function of events: no socket, no wall clock, random only from the seed."""
+"""The decision logic of an ingress: a function of events, without sockets or a wall clock, random only by its seed."""
--- a/ingress/decisions/actions.py
+++ b/ingress/decisions/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what a gateway may do.  Times are in seconds; `request_id` names a request within its gateway."""
+"""Actions: what a gateway can do.  Times are in seconds; `request_id` identifies a request within its gateway."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
     """Forward the request to an endpoint.
 
     Attributes:
-        request_id: the request.
-        endpoint_id: where it goes.
-        timeout: s to wait for the answer.
-        start_within: s in which the attempt must be written, or it is not sent; 0 for no such bound.
+        request_id: The id of the request.
+        endpoint_id: The id of the endpoint.
+        timeout: The seconds to wait for the answer.
+        start_within: The seconds within which the attempt must be written, or it is not sent; 0 for no such limit.
     """
 
     request_id: str
@@ -26,14 +26,14 @@
 
 
 class CancelAttempt(Struct, frozen=True):
-    """Give up one attempt of a request."""
+    """Cancel one attempt of a request."""
 
     request_id: str
     attempt: int
 
 
 class RejectRequest(Struct, frozen=True):
-    """The final answer that tells the client that a retry does no harm, `retry_after` s from now."""
+    """Send the final answer that promises the client that a retry in `retry_after` seconds is safe."""
 
     request_id: str
     retry_after: float = 0.0
@@ -41,21 +41,21 @@
 
 
 class FailRequest(Struct, frozen=True):
-    """The final answer that promises nothing about the request's effect."""
+    """Send the final answer that leaves open whether the request had an effect."""
 
     request_id: str
     reason: str = ""
 
 
 class SetTimer(Struct, frozen=True):
-    """Send `TimerFired` with this token after `delay` s."""
+    """Deliver `TimerFired` with this token after `delay` seconds."""
 
     delay: float
     token: int
 
 
 class StartHealthCheck(Struct, frozen=True):
-    """Check an endpoint, and wait `timeout` s for its answer."""
+    """Check the health of an endpoint, waiting `timeout` seconds for its answer."""
 
     endpoint_id: str
     timeout: float = 0.0
@@ -68,14 +68,14 @@
 
 
 class SendPeerMessage(Struct, frozen=True):
-    """A message to one other gateway, or to all when `peer` is None; at most 256 bytes."""
+    """Send a message of at most 256 bytes to one other gateway, or to all if `peer` is None."""
 
     text: str
     peer: int | None = None
 
 
 class AddToCounter(Struct, frozen=True):
-    """Add to a number of the counter service; a new one lives for `lifetime` s."""
+    """Add to a counter of the counter service; a new counter expires after `lifetime` seconds."""
 
     name: int
     add: float
@@ -83,7 +83,7 @@
 
 
 class WatchEndpoints(Struct, frozen=True):
-    """Subscribe to the endpoint list, or end the subscription."""
+    """Subscribe to the endpoint list, or end the subscription if `on` is false."""
 
     on: bool = True
 
@@ -93,25 +93,25 @@
 
 
 class SetReadiness(Struct, frozen=True):
-    """The answer to a load balancer that asks whether this gateway takes requests."""
+    """Set the answer to readiness checks of load balancers: whether this gateway accepts new requests."""
 
     ready: bool
 
 
 class CloseIdleClients(Struct, frozen=True):
-    """Whether connections of clients are closed as they fall idle."""
+    """Set whether client connections are closed as soon as they are idle."""
 
     enabled: bool
 
 
 class ShareUsage(Struct, frozen=True):
-    """Tell the other processes of this gateway what was spent."""
+    """Report usage to the other processes of this gateway."""
 
     usage: QuotaUsage
 
 
 class LogMessage(Struct, frozen=True):
-    """A line for the log."""
+    """Write one line to the log."""
 
     text: str
 
--- a/ingress/decisions/attempt_outcomes.py
+++ b/ingress/decisions/attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""What the outcome of an attempt tells about its endpoint."""
+"""Records the outcomes of attempts in the load, latency and health of their endpoints."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 from ingress.decisions.events import AttemptEnded
 from ingress.decisions.settings import Settings
 
-MIN_WAIT_RATIO = 0.5  # of the longest latency objective: silence for a shorter time tells nothing of an endpoint
-NO_RESPONSE = frozenset((Outcome.TIMEOUT, Outcome.CANCELLED))
+# An attempt without a response is held against its endpoint only if it was in flight for at least this ratio of the
+# longest latency objective.
+MIN_SILENCE_RATIO = 0.5
+NO_RESPONSE_OUTCOMES = frozenset((Outcome.TIMEOUT, Outcome.CANCELLED))
 
 
 class OutcomeRecorder:
     """Adds outcomes to the load, latency and health of endpoints.
 
-    Outcomes of an earlier incarnation of the endpoint say nothing about the health of the present one.
+    Outcomes of an earlier incarnation of an endpoint do not affect the health of the current one.
     """
 
     def __init__(self, settings: Settings, cluster: Cluster) -> None:
@@ -24,11 +26,11 @@
         self._cluster = cluster
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go on with other settings."""
+        """Apply new settings."""
         self._timer_resolution = settings.timer_resolution
 
     def record_response(self, now: float, request: InFlightRequest, endpoint: TrackedEndpoint, latency: float) -> None:
-        """Learn from a response that took `latency` s; one after the latency objective is a partial failure."""
+        """Record a response after `latency` seconds; one after the latency objective counts as a partial failure."""
         request_class = request.request_class
         objective = request_class.latency_objective
         endpoint.record_latency(now, latency, self._cluster.latencies.mean_latency(request_class), objective)
@@ -39,17 +41,18 @@
     def record_failure(
         self, now: float, request: InFlightRequest, endpoint: TrackedEndpoint, event: AttemptEnded, sent_at: float
     ) -> None:
-        """Learn from an attempt that failed at its endpoint.
+        """Record an attempt that failed at its endpoint.
 
-        A timeout counts as a slow response too, and a rejection as overload.  Where there was no response, the endpoint
-        is blamed only if it had time for one: a client that waits a moment, or leaves, tells nothing of it.
+        A timeout also counts as a slow response, and a rejection as overload.  Where there was no response, the failure
+        is held against the endpoint only if it had time to respond: a client that waits for a moment only, or that
+        disconnects, says nothing about the endpoint.
 
         Args:
-            now: s.
-            request: whose attempt it was.
-            endpoint: where it was sent.
-            event: how it ended.
-            sent_at: s; when it was sent.
+            now: The current time in seconds.
+            request: The request of the attempt.
+            endpoint: The endpoint that the attempt was sent to.
+            event: The event with the outcome of the attempt.
+            sent_at: The time in seconds when the attempt was sent.
         """
         outcome = event.outcome
         outliers = self._cluster.outliers
@@ -62,9 +65,9 @@
             endpoint.record_latency(now, max(event.latency, objective), mean, objective)
         elif outcome is Outcome.REJECTED:
             endpoint.record_rejection(now, latencies.longest_objective)
-        had_time = now - sent_at >= MIN_WAIT_RATIO * latencies.longest_objective - self._timer_resolution
-        if sent_at < endpoint.tracked_since or (outcome in NO_RESPONSE and not had_time):
+        had_time = now - sent_at >= MIN_SILENCE_RATIO * latencies.longest_objective - self._timer_resolution
+        if sent_at < endpoint.tracked_since or (outcome in NO_RESPONSE_OUTCOMES and not had_time):
             return
-        if outcome not in NO_RESPONSE and outcome is not Outcome.CONNECT_FAILED:
+        if outcome not in NO_RESPONSE_OUTCOMES and outcome is not Outcome.CONNECT_FAILED:
             endpoint.last_response_at = now
         outliers.record_failure(endpoint.health, now, outcome, silent)
--- a/ingress/decisions/attempts.py
+++ b/ingress/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""A request in flight, its attempts, and the rule whether one more attempt may go out."""
+"""A request in flight, its attempts, and the rule that decides whether one more attempt may be sent."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Attempt(Struct, frozen=True):
-    """An attempt that was sent to `endpoint` at `sent_at` (s)."""
+    """An attempt that was sent to `endpoint` at the time `sent_at`, in seconds."""
 
     endpoint: TrackedEndpoint
     sent_at: float
@@ -21,22 +21,22 @@
     """A request without a final answer.
 
     Attributes:
-        id: new for each request.
-        request_class: its class.
-        customer: whose it is.
-        plan: its customer's plan when it came, also if that changes.
-        units: what it takes from the quota.
-        deadline: s; when the client gives up; infinite once the response streams.
-        is_chunked: its body comes in chunks.
-        upload_started: some chunks of its body have gone to an endpoint.
-        within_quota: its units were taken from the slice.
-        misses_objective: the answer would come after the latency objective.
-        attempted: its first attempt was sent.
-        finished: it has its final answer, or nobody waits for one.
-        streaming_attempt: the attempt whose response has begun.
-        attempts: all, in order.
-        in_flight: the endpoints of the attempts in flight, by number.
-        may_have_run: attempts in flight, and those of which nothing proves that they did not run.
+        id: The unique id of the request.
+        request_class: The class of the request.
+        customer: The quota of the customer that sent it.
+        plan: The plan of the customer when the request was received, even if that changes later.
+        units: The units that it takes from the quota.
+        deadline: The time in seconds when the client gives up; infinite once the response is streaming.
+        is_chunked: Whether its body is sent in chunks.
+        upload_started: Whether chunks of its body have been sent to an endpoint.
+        within_quota: Whether its units are taken from the slice.
+        misses_objective: Whether the answer would come after the latency objective.
+        attempted: Whether its first attempt was sent.
+        finished: Whether it has its final answer, or its client has disconnected.
+        streaming_attempt: The number of the attempt whose response has started.
+        attempts: All attempts, in order.
+        in_flight: The endpoints of the attempts in flight, by attempt number.
+        may_have_run: The attempts that are in flight or have ended without proof that they were not run.
     """
 
     id: str
@@ -60,7 +60,7 @@
     def received(
         cls, now: float, event: RequestReceived, request_class: RequestClass, customer: CustomerQuota
     ) -> InFlightRequest:
-        """Return the request of an event, with its class and customer."""
+        """Return the request for an event, with the given class and customer."""
         return cls(
             id=event.request_id,
             request_class=request_class,
@@ -72,7 +72,7 @@
         )
 
     def add_attempt(self, endpoint: TrackedEndpoint, now: float) -> AttemptId:
-        """Note that an attempt is sent."""
+        """Record that an attempt is sent to `endpoint`, and return its id."""
         number = len(self.attempts)
         attempt = Attempt(endpoint, now)
         self.attempts.append(attempt)
@@ -80,20 +80,20 @@
         self.in_flight[number] = endpoint
         return AttemptId(self.id, number)
 
-    def never_ran(self, endpoint: TrackedEndpoint, sent_at: float) -> None:
-        """Note the proof that an attempt was not run."""
+    def record_never_ran(self, endpoint: TrackedEndpoint, sent_at: float) -> None:
+        """Record the proof that the endpoint did not run an attempt."""
         self.may_have_run.remove(Attempt(endpoint, sent_at))
 
     def may_reject(self) -> bool:
-        """Tell whether a rejection would be true: it promises the client that a retry does no harm."""
+        """Return whether the request may be rejected, which promises the client that a retry is safe."""
         return self.request_class.idempotency is Idempotency.IDEMPOTENT or not self.may_have_run
 
     def may_attempt(self, endpoint: TrackedEndpoint, now: float, settings: Settings) -> bool:
-        """Tell whether one more attempt may go to `endpoint`; guards against an effect that happens twice.
+        """Return whether one more attempt may be sent to `endpoint`; guards against running a request twice.
 
-        The attempts are bounded in all and at once.  A body that comes in chunks can't go to a second endpoint.  Where
-        an earlier attempt may have run, the class must be idempotent, or the endpoint must still recognise the
-        request's key as one that was used.
+        Both the total number of attempts and the number in flight are limited.  A chunked body can't be sent to a
+        second endpoint.  Where an earlier attempt may have run, the class must be idempotent, or the endpoint must
+        still recognise the idempotency key of the request as already used.
         """
         if len(self.attempts) >= settings.max_attempts or len(self.in_flight) > settings.hedging_allowed:
             return False
@@ -107,7 +107,7 @@
         return self.start_within(now, settings) > 0 and self._key_recognised_by(endpoint)
 
     def _key_recognised_by(self, endpoint: TrackedEndpoint) -> bool:
-        """Tell whether `endpoint` knows the keys of all endpoints that may have run the request."""
+        """Return whether `endpoint` shares the keys of all endpoints that may have run the request."""
         match self.request_class.key_scope:
             case KeyScope.ALL:
                 return True
@@ -119,7 +119,7 @@
                 return all(attempt.endpoint.info.cell == cell for attempt in self.may_have_run)
 
     def start_within(self, now: float, settings: Settings) -> float:
-        """Return the seconds in which an attempt has to begin, so that its key is still recognised; 0 for no bound."""
+        """Return the seconds within which an attempt must start for its key to be recognised; 0 if unlimited."""
         if self.request_class.idempotency is not Idempotency.IDEMPOTENCY_KEY or not self.may_have_run:
             return 0.0
         first_sent_at = min(attempt.sent_at for attempt in self.may_have_run)
--- a/ingress/decisions/customer_context.py
+++ b/ingress/decisions/customer_context.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of a customer that it sees for the first time."""
+"""The knowledge that a gateway has about a customer that it sees for the first time."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 
 
 class NewCustomerContext(Struct, frozen=True):
-    """What is known as a customer is first seen.
+    """The inputs for the initial quota of a customer.
 
     Attributes:
-        ceiling_level: units that its ceiling holds over all gateways.
-        time_without_usage: s for which it has spent nothing.
-        gateway_age: s since this gateway began.
-        mean_attempt_duration: s that attempts stay in flight.
-        max_request_units: units of the largest request.
+        ceiling_level: The units in its ceiling bucket over all gateways.
+        time_without_usage: The seconds for which it is known to have spent nothing; infinite where no usage
+            can be missing.
+        gateway_age: The seconds since this gateway started.
+        mean_attempt_duration: The mean time in seconds that an attempt is in flight.
+        max_request_units: The units of the largest request.
     """
 
     ceiling_level: float = 0.0
--- a/ingress/decisions/customers.py
+++ b/ingress/decisions/customers.py
@@ -1,4 +1,4 @@
-"""The quotas of all customers of one gateway, and what a customer that was not seen yet may have spent."""
+"""The quotas of all customers of one gateway, and an upper bound on the usage of customers not seen yet."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class CustomerQuotas:
-    """The customers seen lately, by name.
+    """The quotas of the customers seen recently.
 
     Attributes:
-        plans: the plans, by name.
-        by_name: the customers.
-        unseen_ceilings: by plan, the ceiling of a customer that was not seen yet, over all gateways.
-        started_at: s; when this gateway began, in whatever process; None before its first event.
-        usage_known_since: s; before this nobody knows what was spent.  None where all is known, and where there is
-            nothing to know it from (no predecessor and no checkpoint): then each customer has a new burst.
+        plans: The plans, by name.
+        by_name: The quotas of the customers, by customer id.
+        unseen_ceilings: The ceiling bucket of a customer not seen yet, over all gateways, by plan name.
+        started_at: The time in seconds when this gateway started, in whichever process; None before its first event.
+        usage_known_since: The time in seconds before which usage is unknown.  None if all usage is known, and also if
+            there is no source for it (neither a predecessor nor a checkpoint): then each customer gets a new burst.
     """
 
     def __init__(self, settings: Settings, cluster: Cluster) -> None:
@@ -35,9 +35,9 @@
         self._cluster = cluster
 
     def start(self, now: float, started_at: float) -> None:
-        """Begin at `now` for a gateway that started at `started_at`.
+        """Start at `now` for a gateway that has existed since `started_at`.
 
-        The ceilings of unseen customers fill from empty: a process that has crashed may just have spent what they hold.
+        The ceilings of unseen customers fill from empty: a process that crashed may have spent them just before.
         """
         self.started_at = started_at
         age = now - started_at
@@ -46,23 +46,23 @@
             self.unseen_ceilings[plan.name] = TokenBucket(plan.ceiling_rate, plan.ceiling_burst, level, now)
 
     def gateway_age(self, now: float) -> float:
-        """Return the seconds since this gateway began."""
+        """Return the seconds since this gateway started."""
         return 0.0 if self.started_at is None else now - self.started_at
 
     def unseen_ceiling_level(self, now: float, plan: str) -> float:
-        """Return the units that the ceiling of an unseen customer holds over all gateways."""
+        """Return the units in the ceiling bucket of an unseen customer, over all gateways."""
         ceiling = self.unseen_ceilings[plan]
         ceiling.refill(now)
         return ceiling.level
 
     def get(self, now: float, name: str, plan: Plan, gateway_count: int) -> CustomerQuota:
-        """Return the customer, as a new one where it is unknown or was under another plan.
+        """Return the quota of a customer; create it if the customer is unknown or had another plan.
 
         Args:
-            now: s.
-            name: the customer's id.
-            plan: its plan.
-            gateway_count: gateways that share its quota.
+            now: The current time in seconds.
+            name: The id of the customer.
+            plan: The plan of the customer.
+            gateway_count: The number of gateways that share the quota.
         """
         gateway_count = max(1, gateway_count)
         customer = self.by_name.get(name)
@@ -84,15 +84,15 @@
         )
 
     def advance_concurrency(self, now: float, customer: CustomerQuota) -> None:
-        """Account for the time of its attempts in flight; to be called before their number changes."""
-        if customer.concurrency.budget is not None:  # computing the mean duration is not free
+        """Account for the time that attempts have been in flight; must be called before their number changes."""
+        if customer.concurrency.budget is not None:  # avoids computing the mean duration needlessly
             customer.concurrency.advance(now, self._cluster.latencies.mean_attempt_duration())
 
     def apply_settings(self, now: float, settings: Settings) -> None:
-        """Go on with other plans.
+        """Apply new settings, of which the plans and the size of the largest request are used.
 
-        A plan that is removed takes nothing new; the deficit of its customers stays until it has refilled, for the plan
-        may come back.
+        A removed plan admits no new requests.  The deficits of its customers are kept until they have refilled, because
+        the plan may be added again.
         """
         self.plans = {plan.name: plan for plan in settings.plans}
         self._max_request_units = settings.max_request_units
@@ -103,23 +103,23 @@
 
     def _changed_ceiling(self, now: float, plan: Plan) -> TokenBucket:
         ceiling = self.unseen_ceilings.get(plan.name)
-        if ceiling is None or not ceiling.rate:  # nobody has counted until now
+        if ceiling is None or not ceiling.rate:  # usage has not been counted against it until now
             return TokenBucket(plan.ceiling_rate, plan.ceiling_burst, 0.0, now)
         ceiling.resize(now, plan.ceiling_rate, plan.ceiling_burst)
         return ceiling
 
     def remove_idle(self, now: float) -> None:
-        """Forget the customers of which a new one would be equal."""
+        """Drop the idle customers whose quota equals that of a newly created one."""
         for name in [name for name, customer in self.by_name.items() if customer.is_idle(now)]:
             del self.by_name[name]
 
     def states(self, now: float, names: Iterable[str]) -> list[CustomerState]:
-        """Return the states of those of `names` that are held back by anything: a new one would equal the others."""
+        """Return the states of the customers among `names` that any limit restricts; the others equal new ones."""
         found = (self.by_name.get(name) for name in names)
         return [customer.state(now) for customer in found if customer is not None and not customer.is_unrestricted(now)]
 
     def restore(self, now: float, known: CustomerState) -> None:
-        """Take over a customer from the predecessor or a checkpoint; one of a plan that is removed is left out."""
+        """Restore a customer from the predecessor or a checkpoint; skip one whose plan was removed."""
         if known.plan not in self.plans:
             return
         customer = self.get(now, known.customer, self.plans[known.plan], known.gateway_count)
@@ -131,16 +131,16 @@
         ceiling.deficit = max(known.ceiling_deficit, ceiling.capacity - known.ceiling_level)
         customer.concurrency.in_flight_elsewhere = known.open_attempts
         if known.open_attempts and customer.concurrency.budget is not None:
-            customer.concurrency.budget.level = 0.0  # what it had left is not known
+            customer.concurrency.budget.level = 0.0  # the remaining budget is not part of the state
 
     def restore_unseen_ceiling(self, plan: str, level: float) -> None:
-        """Take over from the predecessor or a checkpoint what the ceiling of an unseen customer holds."""
+        """Restore the ceiling level of an unseen customer from the predecessor or a checkpoint."""
         if ceiling := self.unseen_ceilings.get(plan):
             ceiling.level = min(level, ceiling.capacity)
             ceiling.deficit = max(0.0, ceiling.capacity - level)
 
     def record_usage(self, now: float, usage: QuotaUsage) -> None:
-        """Spend what another process of this gateway has spent; otherwise both would allow it."""
+        """Spend what another process of this gateway has spent; otherwise both would grant the same units."""
         customer = self.get(now, usage.customer, self.plans[usage.plan], usage.gateway_count)
         self.advance_concurrency(now, customer)
         concurrency = customer.concurrency
--- a/ingress/decisions/draining.py
+++ b/ingress/decisions/draining.py
@@ -1,6 +1,7 @@
 """Draining: the load balancer is notified first, and idle clients are disconnected once it sends nothing new.
 
-Requests that still come are admitted like any other: a load balancer that has not noticed yet sends on.
+Requests that still arrive are admitted like any others, because a load balancer that has not noticed yet continues to
+send them.
 """
 
 from __future__ import annotations
@@ -9,17 +10,18 @@
 from ingress.decisions.events import DrainRequested
 from ingress.decisions.timers import TimerToken
 
-READINESS_PROPAGATION_DELAY_S = 0.5  # s from the first "not ready" until the load balancer surely sends nothing new
+# The time from the first "not ready" until the load balancer certainly sends nothing new.
+READINESS_PROPAGATION_DELAY_S = 0.5
 
 
 class Draining:
-    """Whether this gateway drains, and why.
+    """The drain state of this gateway.
 
     Attributes:
-        by_operator: an operator asked for it; may be taken back.
-        by_shutdown: the process ends afterwards; can't be taken back.
-        active: the gateway drains, for either reason.
-        clients_close_at: s; when idle clients may be closed.
+        by_operator: Whether an operator has requested a drain, which can be cancelled.
+        by_shutdown: Whether the gateway drains because the process exits afterwards, which can't be cancelled.
+        active: Whether the gateway drains, for either reason.
+        clients_close_at: The time in seconds from which on idle clients may be disconnected.
     """
 
     def __init__(self) -> None:
@@ -29,16 +31,16 @@
         self.clients_close_at = 0.0
 
     def request(self, now: float, event: DrainRequested, has_successor: bool) -> list[Action]:
-        """Begin or end a drain.
+        """Start or cancel a drain, and return the actions for it.
 
-        Clients whose connections close before the load balancer has noticed would come back by new ones, so they are
-        closed after a delay.
+        Clients that are disconnected before the load balancer has noticed the drain would reconnect to this gateway, so
+        their connections are closed after a delay.
 
         Args:
-            now: s.
-            event: what is asked for.
-            has_successor: another process of this gateway accepts the new connections, so that the gateway goes on
-                and the load balancer need not notice.
+            now: The current time in seconds.
+            event: The requested change.
+            has_successor: Whether another process of this gateway accepts the new connections, so that the gateway
+                stays available and the load balancer need not notice.
         """
         if event.process_exits:
             self.by_shutdown = True
@@ -56,7 +58,7 @@
         return [SetReadiness(False), SetTimer(READINESS_PROPAGATION_DELAY_S, TimerToken.DRAINED)]
 
     def timer_fired(self, now: float, timer_resolution: float) -> list[Action]:
-        """Close idle clients, unless the drain was taken back or began anew after this timer was set."""
+        """Disconnect idle clients, unless the drain was cancelled or restarted after this timer was set."""
         if self.active and now >= self.clients_close_at - timer_resolution:
             return [CloseIdleClients(True)]
         return []
--- a/ingress/decisions/endpoint.py
+++ b/ingress/decisions/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as the endpoint list has it, and how an attempt at one may end."""
+"""An entry of the endpoint list, and the possible outcomes of an attempt at an endpoint."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Readiness(Enum):
-    """What the endpoint list says of an endpoint; the values are those of the protocol."""
+    """The readiness of an endpoint in the endpoint list; the values are those of the protocol."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -19,13 +19,13 @@
     """One entry of the endpoint list.
 
     Attributes:
-        id: the same for every gateway.
-        zone: where it runs.
-        kind: the kind of its machine.
-        cell: the group of endpoints that share a store of idempotency keys.
-        readiness: whether it takes new requests.
-        weight: its capacity beside that of others.
-        started_at: Unix time in s of its last start; 0 where that is long ago.
+        id: The id of the endpoint, which is the same for every gateway.
+        zone: The zone in which it runs.
+        kind: The type of its machine.
+        cell: The group of endpoints that share a store of idempotency keys.
+        readiness: Whether it accepts new requests.
+        weight: Its capacity relative to that of other endpoints.
+        started_at: The Unix time in seconds of its last start; 0 if that is long ago.
     """
 
     id: str
@@ -38,11 +38,11 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a health check or a call of the counter ended; the values stand in logs."""
+    """The outcome of an attempt, a health check or a call to the counter service; the values appear in logs."""
 
     OK = "ok"
     ERROR = "error"
-    MALFORMED = "spoilt"  # an answer that can't be read: the request may have run
+    MALFORMED = "spoilt"  # an answer that can't be parsed: the request may have run
     REJECTED = "full"
     TIMEOUT = "timeout"
     CONNECT_FAILED = "connect_failed"
@@ -52,12 +52,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this outcome proves that the endpoint did not run the request."""
+        """Return whether this outcome proves that the endpoint did not run the request."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
     @property
     def description(self) -> str:
-        """The text for this outcome in logs, in metrics and in messages to other processes of this ingress."""
+        """Return the text for this outcome in logs, metrics and messages to other processes of this ingress."""
         return OUTCOME_DESCRIPTIONS.get(self, self.value)
 
 
--- a/ingress/decisions/events.py
+++ b/ingress/decisions/events.py
@@ -1,4 +1,4 @@
-"""Events: what happens to a gateway.  Times are in seconds; `request_id` names a request within its gateway."""
+"""Events: what a gateway reacts to.  Times are in seconds; `request_id` identifies a request within its gateway."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class EndpointListKind(Enum):
-    """What a message about the endpoints holds; the values are those of the simulator."""
+    """The kind of a message about the endpoint list; the values are those of the simulator."""
 
     UPDATE = "update"
     REPLACE = "replace"
@@ -23,7 +23,7 @@
 
 
 class EndpointsChanged(Struct, frozen=True):
-    """The endpoint list: entries that changed, or all of them; or discovery can't be reached."""
+    """The endpoint list has changed, as changed entries or as a complete list, or discovery can't be reached."""
 
     kind: EndpointListKind
     endpoints: tuple[Endpoint, ...] = ()
@@ -31,22 +31,22 @@
 
 
 class RequestReceived(Struct, frozen=True):
-    """A client's request.
+    """A client has sent a request.
 
     Attributes:
-        request_id: new for each request.
-        request_class: the name of its class.
-        plan: the name of its customer's plan.
-        customer: the customer's id.
-        time_left: s that the client waits, `time_waited` included.
-        units: what it takes from the quota.
-        gateway_count: gateways that the customer may use, which share its quota evenly.
-        first_gateway: the number of the first of them.
-        is_retry: the client marks it as a retry of its own.
-        is_write: it changes something.
-        memory_available: this process can hold one more request.
-        is_chunked: its long body is still to come, and is forwarded as it comes.
-        time_waited: s that had passed before this process could see it.
+        request_id: The unique id of the request.
+        request_class: The name of its class.
+        plan: The name of its customer's plan.
+        customer: The id of the customer.
+        time_left: The seconds that the client waits for the answer, including `time_waited`.
+        units: The units that it takes from the quota.
+        gateway_count: The number of gateways that the customer may use, which share its quota evenly.
+        first_gateway: The index of the first of these gateways.
+        is_retry: Whether the client marks it as a retry.
+        is_write: Whether it changes data.
+        memory_available: Whether this process has memory for one more request.
+        is_chunked: Whether it has a long body that has yet to arrive, and is forwarded chunk by chunk.
+        time_waited: The seconds that had passed before this process could read the request.
     """
 
     request_id: str
@@ -65,20 +65,20 @@
 
 
 class UploadStarted(Struct, frozen=True):
-    """A chunk of the request's body has gone to an endpoint: no other can get it any more."""
+    """A chunk of the request's body was sent to an endpoint, so that no other endpoint can get the body any more."""
 
     request_id: str
 
 
 class UploadFinished(Struct, frozen=True):
-    """The request's body is complete; its time, `time_left` in s, runs from now."""
+    """The request's body is complete; the client waits `time_left` seconds from now."""
 
     request_id: str
     time_left: float
 
 
 class ResponseStarted(Struct, frozen=True):
-    """The first chunk of a response has come, `latency` s after its attempt was sent."""
+    """The first chunk of a response was received, `latency` seconds after its attempt was sent."""
 
     request_id: str
     attempt: int
@@ -87,19 +87,20 @@
 
 
 class AttemptEnded(Struct, frozen=True):
-    """An attempt is over.
+    """An attempt has ended.
 
     Attributes:
-        request_id: the request.
-        attempt: the number of the attempt, from 0.
-        endpoint_id: where it was sent.
-        outcome: how it ended.
-        latency: s since it was sent.
-        request_finished: the request has its final answer.
-        quota_usage: the customer's metered use, 1 + percent of its rate; 0 where it is not known.
-        settled_units: the true units of the request; 0 where they are not known.
-        load_report: the endpoint's figures on its load.
-        local_failure: it failed in this process (for want of a descriptor, say) and tells nothing of the endpoint.
+        request_id: The id of the request.
+        attempt: The number of the attempt, from 0.
+        endpoint_id: The id of the endpoint that it was sent to.
+        outcome: How the attempt ended.
+        latency: The seconds since it was sent.
+        request_finished: Whether the request has its final answer.
+        quota_usage: The customer's metered usage as 1 plus the percentage of its rate; 0 if unknown.
+        settled_units: The actual units of the request; 0 if unknown.
+        load_report: The load figures that the endpoint reports.
+        local_failure: Whether it failed in this process, for example for lack of a file descriptor, which says nothing
+            about the endpoint.
     """
 
     request_id: str
@@ -115,7 +116,7 @@
 
 
 class ClientDisconnected(Struct, frozen=True):
-    """Nobody waits for the request's answer any more."""
+    """The client is no longer waiting for the answer to the request."""
 
     request_id: str
 
@@ -127,9 +128,11 @@
 
 
 class DrainRequested(Struct, frozen=True):
-    """This gateway is to take nothing more, or (`draining` is false) to go on.
+    """A drain of this gateway is requested or cancelled.
 
-    `process_exits`: the process ends afterwards, so this can't be taken back.
+    Attributes:
+        draining: Whether to drain; false cancels the drain that an operator requested.
+        process_exits: Whether the process exits afterwards, so that the drain can't be cancelled.
     """
 
     draining: bool = True
@@ -137,19 +140,19 @@
 
 
 class SettingsChanged(Struct, frozen=True):
-    """From now on these settings hold.  Requests in flight keep the class, plan and time they came with."""
+    """New settings apply from now on.  Requests in flight keep the class, plan and deadline they were received with."""
 
     settings: Settings
 
 
 class ProcessGroupChanged(Struct, frozen=True):
-    """The other processes of this gateway.
+    """The group of other processes of this gateway has changed.
 
     Attributes:
-        other_processes: how many there are.
-        has_successor: one of them accepts the new connections.
-        usage_persisted: usage is written to disk for the process that comes after a crash, and so is shared even if
-            there is no other process.
+        other_processes: The number of other processes.
+        has_successor: Whether one of them accepts the new connections.
+        usage_persisted: Whether usage is written to disk for the process that starts after a crash, and so must be
+            shared even if there is no other process.
     """
 
     other_processes: int
@@ -158,16 +161,16 @@
 
 
 class UsageUnknown(Struct, frozen=True):
-    """Usage before `usage_known_since` (s, the gateway's clock) is not known.
+    """Usage before the time `usage_known_since`, in seconds by the gateway's clock, is unknown.
 
-    The bucket of a customer of which nothing is known holds no more than has refilled since then.
+    The bucket of a customer without known usage starts with at most the units that have refilled since then.
     """
 
     usage_known_since: float
 
 
 class HealthCheckEnded(Struct, frozen=True):
-    """A health check is over, `latency` s after it was sent."""
+    """A health check has ended, `latency` seconds after it was sent."""
 
     endpoint_id: str
     outcome: Outcome
@@ -176,14 +179,14 @@
 
 
 class PeerMessage(Struct, frozen=True):
-    """A message from another gateway."""
+    """Another gateway has sent a message."""
 
     sender: int
     text: str
 
 
 class CounterReply(Struct, frozen=True):
-    """The answer of the counter service, `latency` s after the call."""
+    """The counter service has answered, or failed to, `latency` seconds after the call."""
 
     name: int
     outcome: Outcome
--- a/ingress/decisions/forwarding.py
+++ b/ingress/decisions/forwarding.py
@@ -1,4 +1,4 @@
-"""Forwarding: the attempts of the admitted requests, from the first one to the request's final answer."""
+"""Forwarding: the attempts of admitted requests, from the first attempt to the final answer of the request."""
 
 from __future__ import annotations
 
@@ -19,18 +19,18 @@
 from ingress.decisions.retry import RetryBudget
 from ingress.decisions.settings import Settings
 
-MIN_ATTEMPT_TIMEOUT_S = 1e-6  # s
+MIN_ATTEMPT_TIMEOUT_S = 1e-6
 
 
 class Forwarder:
     """The requests in flight and their attempts.
 
     Attributes:
-        actions: those of the event that is handled now; `Gateway.handle` begins a new list with each event.
-        requests: requests that have no final answer yet.
-        attempts: attempts that have not ended, also those of requests that have their answer.
-        retries: bounds retries and hedges.
-        hedging: when hedges are due.
+        actions: The actions of the event being handled; `Gateway.handle` starts a new list for each event.
+        requests: The requests that have no final answer yet, by request id.
+        attempts: The requests of all attempts in flight, including requests that already have their final answer.
+        retries: The budget that limits retries and hedges.
+        hedging: The schedule of hedges.
     """
 
     def __init__(
@@ -48,18 +48,18 @@
         self._outcomes = OutcomeRecorder(settings, cluster)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Go on with other settings."""
+        """Apply new settings."""
         self._settings = settings
         self._outcomes.apply_settings(settings)
 
     def send(self, now: float, request: InFlightRequest) -> bool:
-        """Send one attempt; tell whether there was an endpoint for it."""
+        """Send one attempt; return whether an endpoint was available for it."""
         endpoint = self._cluster.load_balancer.choose_endpoint(request, now)
         if endpoint is None:
             return False
         is_first = not request.attempted
         if is_first:
-            self._first_attempt(now, request)
+            self._record_first_attempt(now, request)
         start_within = request.start_within(now, self._settings)
         attempt_id = request.add_attempt(endpoint, now)
         self._customers.advance_concurrency(now, request.customer)
@@ -68,15 +68,15 @@
         self._cluster.congestion.attempt_started(attempt_id, request.request_class.latency_objective, now)
         self.attempts[attempt_id] = request
         if self._process_state.usage_is_shared():
-            self._report_attempt(now, request, endpoint, is_first)
+            self._share_attempt_usage(now, request, endpoint, is_first)
         timeout = max(request.deadline - now, MIN_ATTEMPT_TIMEOUT_S)
         self.actions.append(StartAttempt(request.id, endpoint.info.id, timeout, start_within))
         return True
 
-    def _first_attempt(self, now: float, request: InFlightRequest) -> None:
-        """Spend the customer's units, earn retries, and plan a hedge."""
+    def _record_first_attempt(self, now: float, request: InFlightRequest) -> None:
+        """Spend the customer's units, add to the retry budget, and schedule a hedge."""
         request.attempted = True
-        self.retries.earn()
+        self.retries.deposit()
         if request.plan.ceiling_rate:
             request.customer.ceiling.take(request.units)
         if request.within_quota:
@@ -86,7 +86,9 @@
             if timer is not None:
                 self.actions.append(timer)
 
-    def _report_attempt(self, now: float, request: InFlightRequest, endpoint: TrackedEndpoint, is_first: bool) -> None:
+    def _share_attempt_usage(
+        self, now: float, request: InFlightRequest, endpoint: TrackedEndpoint, is_first: bool
+    ) -> None:
         customer = request.customer
         work = 0.0
         if endpoint.warming_up(now, self._settings):
@@ -104,23 +106,23 @@
         self.actions.append(ShareUsage(usage))
 
     def finish_without_response(self, request: InFlightRequest, reason: RejectionReason) -> None:
-        """Give the final answer from here: a rejection if a retry by the client is harmless, else a failure."""
+        """Give the final answer of this gateway: a rejection if the client may safely retry, a failure otherwise."""
         request.finished = True
         self.requests.pop(request.id, None)
         if request.may_reject():
-            # The rate of all gateways together, for the client may come back through any of them.
+            # This is the rate of all gateways together, because the client may retry through any of them.
             retry_after = request.units / request.plan.rate if request.plan.rate else 0.0
             self.actions.append(RejectRequest(request.id, retry_after, reason.value))
         else:
             self.actions.append(FailRequest(request.id, reason.value))
 
     def client_disconnected(self, request_id: str) -> None:
-        """Drop a request that nobody waits for; its attempts go on until they end."""
+        """Drop a request whose client is no longer waiting; its attempts continue until they end."""
         if (request := self.requests.pop(request_id, None)) is not None:
             request.finished = True
 
     def response_started(self, now: float, event: ResponseStarted) -> None:
-        """Note that a response streams: the endpoint has done its work, and no other attempt can replace it."""
+        """Record that a response has started: the endpoint has done its work, and no other attempt can replace it."""
         request = self.requests.get(event.request_id)
         if request is None:
             return
@@ -132,7 +134,7 @@
             self._record_response(now, request, endpoint, event)
 
     def attempt_ended(self, now: float, event: AttemptEnded) -> None:
-        """Learn from an attempt that is over, and retry, or give the final answer if it failed."""
+        """Record how an attempt ended; after a failure, retry it or give the final answer."""
         attempt_id = AttemptId(event.request_id, event.attempt)
         request = self.attempts.pop(attempt_id, None)
         if request is None:
@@ -142,7 +144,7 @@
         sent_at = endpoint.attempt_ended(attempt_id, now)
         self._cluster.congestion.attempt_ended(attempt_id, now)
         if event.outcome.never_ran:
-            request.never_ran(endpoint, sent_at)
+            request.record_never_ran(endpoint, sent_at)
         self._cluster.outliers.check_load_report(event.load_report)
         if event.outcome is Outcome.OK:
             if event.attempt != request.streaming_attempt:
@@ -168,7 +170,7 @@
     def _record_response(
         self, now: float, request: InFlightRequest, endpoint: TrackedEndpoint, event: AttemptEnded | ResponseStarted
     ) -> None:
-        """Learn from a response, and cancel the other attempts."""
+        """Record a response, and cancel the other attempts of its request."""
         self._outcomes.record_response(now, request, endpoint, event.latency)
         others = [number for number in request.in_flight if number != event.attempt]
         if others and not request.finished:
@@ -177,10 +179,10 @@
             self.actions += [CancelAttempt(request.id, number) for number in others]
 
     def _send_again(self, now: float, request: InFlightRequest, max_saturation: float) -> bool:
-        """Send a retry or hedge; tell whether it was sent."""
+        """Send a retry or hedge; return whether it was sent."""
         sent = self.retries.allows(now, request, max_saturation) and self.send(now, request)
         if sent:
-            self.retries.spend()
+            self.retries.withdraw()
         return sent
 
     def hedge_timer_fired(self, now: float) -> None:
--- a/ingress/decisions/gateway.py
+++ b/ingress/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The decisions of one gateway, as a function of events: it dispatches each event to the module that decides."""
+"""The decision logic of one gateway: dispatches each event to the module that decides what to do about it."""
 
 from __future__ import annotations
 
@@ -35,25 +35,27 @@
 from ingress.decisions.settings import Plan, RequestClass, Settings
 from ingress.decisions.timers import TimerToken
 
-CLEANUP_INTERVAL_S = 60.0  # s
-DISCOVERY_RETRY_MIN_RATIO = 0.1  # of the deadline by which discovery has to be asked again
-DISCOVERY_RETRY_MAX_RATIO = 0.25  # of that deadline: a failed call may be followed by some more
+CLEANUP_INTERVAL_S = 60.0
+# After a failure, discovery is asked again after a random share of the deadline for asking again.  The upper bound
+# leaves time for more attempts before that deadline, in case the next ones fail too.
+DISCOVERY_RETRY_MIN_RATIO = 0.1
+DISCOVERY_RETRY_MAX_RATIO = 0.25
 
 
 class Gateway:
-    """The decisions of one gateway.
+    """The decision logic of one gateway.
 
     Attributes:
-        settings: those that hold now.
-        rng: the only source of random draws.
-        classes: the classes of requests, by name.
-        cluster: the endpoints.
-        quotas: the customers.
-        draining: whether the gateway drains.
-        process_state: what is shared with other processes of this gateway.
-        admission: the checks of new requests.
-        forwarder: the requests in flight.
-        actions: those of the last event, also where its handling failed half-way.
+        settings: The current settings.
+        rng: The only source of random draws.
+        classes: The request classes, by name.
+        cluster: The endpoints and the load balancing among them.
+        quotas: The quotas of the customers.
+        draining: The drain state of this gateway.
+        process_state: The state that is shared with other processes of this gateway.
+        admission: The checks of new requests.
+        forwarder: The requests in flight.
+        actions: The actions of the last event, also where its handling failed half-way.
     """
 
     def __init__(
@@ -74,25 +76,25 @@
 
     @property
     def plans(self) -> Mapping[str, Plan]:
-        """The plans, by name."""
+        """The plans of the customers, by name."""
         return self.quotas.plans
 
     @property
     def customers(self) -> Mapping[str, CustomerQuota]:
-        """The customers seen lately, by name."""
+        """The quotas of the customers seen recently, by name."""
         return self.quotas.by_name
 
     @property
     def requests(self) -> Mapping[str, InFlightRequest]:
-        """The requests without a final answer, by id."""
+        """The requests without a final answer, by request id."""
         return self.forwarder.requests
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Decide what to do at an event.
+        """Return the actions to take in response to an event.
 
         Args:
-            now: s; never less than at the last event.
-            event: what happened.
+            now: The current time in seconds, which must not be less than at the previous event.
+            event: The event that occurred.
         """
         self.actions = self.forwarder.actions = []
         if not self._started:
@@ -112,7 +114,7 @@
             self.actions.append(WatchEndpoints())
 
     def _dispatch(self, now: float, event: Event) -> None:
-        """Dispatch the events of requests, which are nearly all."""
+        """Dispatch the events of requests, which are the vast majority, and pass on all others."""
         match event:
             case RequestReceived():
                 self._request_received(now, event)
@@ -131,10 +133,10 @@
             case QuotaUsage():
                 self.process_state.record_usage(now, event)
             case _:
-                self._dispatch_rare(now, event)
+                self._dispatch_control_event(now, event)
 
-    def _dispatch_rare(self, now: float, event: Event) -> None:
-        """Dispatch the events that change the gateway itself, its endpoints or its processes."""
+    def _dispatch_control_event(self, now: float, event: Event) -> None:
+        """Dispatch an event that changes the gateway itself, its endpoints or its process group."""
         match event:
             case EndpointsChanged():
                 self._endpoints_changed(now, event)
@@ -149,13 +151,13 @@
                 self.process_state.change_group(event)
             case HandoverState():
                 self.actions += self.process_state.restore(now, event)
-            case UsageUnknown(usage_known_since=since):
-                self.quotas.usage_known_since = since
+            case UsageUnknown(usage_known_since=usage_known_since):
+                self.quotas.usage_known_since = usage_known_since
 
     def _request_received(self, now: float, event: RequestReceived) -> None:
         plan = self.plans.get(event.plan)
         request_class = self.classes.get(event.request_class)
-        if plan is None or request_class is None:  # it came as the settings changed
+        if plan is None or request_class is None:  # the settings changed while the request was being received
             self.actions.append(FailRequest(event.request_id, RejectionReason.UNKNOWN_CLASS_OR_PLAN.value))
             return
         customer = self.quotas.get(now, event.customer, plan, event.gateway_count)
@@ -168,7 +170,7 @@
             self.forwarder.finish_without_response(request, reason)
 
     def _endpoints_changed(self, now: float, event: EndpointsChanged) -> None:
-        """Apply the list; watch again after a failure, once however many calls fail."""
+        """Apply an endpoint list; after failures, schedule one new subscription, however many calls have failed."""
         self.cluster.endpoints.apply_list(event, now)
         if event.kind is EndpointListKind.UNAVAILABLE and not self._discovery_retry_pending:
             self._discovery_retry_pending = True
@@ -201,15 +203,15 @@
             self.actions.append(WatchEndpoints())
 
     def health(self) -> dict[str, int]:
-        """Return the counts of the endpoints' health, by metric name."""
+        """Return the endpoints by health, the ejections, health checks and invalid load reports, by metric name."""
         return self.cluster.outliers.metrics()
 
     def customer_states(self, now: float, names: Iterable[str]) -> list[CustomerState]:
-        """Return the states of those of `names` that are held back by anything."""
+        """Return the states of the customers among `names` that any limit restricts."""
         return self.quotas.states(now, names)
 
     def handover_state(self, now: float, customers: bool = True) -> HandoverState:
-        """Return what the process that takes this one's place must know, with or without the customers."""
+        """Return the state for the process that replaces this one, with or without the customers."""
         return self.process_state.snapshot(now, customers)
 
 
--- a/ingress/decisions/handover_state.py
+++ b/ingress/decisions/handover_state.py
@@ -1,7 +1,7 @@
-"""What the processes of one gateway tell each other: usage as it is spent, and the whole state at a handover.
+"""The data that processes of one gateway exchange: usage as it is spent, and the complete state at a handover.
 
-Times are in seconds by the gateway's clock.  The order of the fields is the form that is sent and stored:
-`ingress.process_group.handover_messages` writes most of these by position.
+Times are in seconds by the gateway's clock.  The order of the fields is part of the format that is sent and stored:
+`ingress.process_group.handover_messages` writes most of these classes by position.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 
 
 class QuotaUsage(Struct, frozen=True):
-    """What one process spent of what all processes of its gateway share, as an event and as part of an action.
+    """The usage by one process of the budgets that all processes of its gateway share; an event and part of an action.
 
     Attributes:
-        customer: whose.
-        plan: the name of its plan.
-        gateway_count: gateways that share its quota.
-        units: spent; 0 but for a first attempt.
-        within_quota: the units came from the quota.
-        attempts_delta: how its number of open attempts changes.
-        endpoint_id: where the attempt goes.
-        slow_start_work: spent of a warming endpoint's budget, in mean requests; 0 for one that is warm.
+        customer: The id of the customer.
+        plan: The name of its plan.
+        gateway_count: The number of gateways that share its quota.
+        units: The units spent; 0 except for a first attempt.
+        within_quota: Whether the units came from the quota.
+        attempts_delta: The change of the customer's number of attempts in flight.
+        endpoint_id: The id of the endpoint that the attempt is sent to.
+        slow_start_work: The work, in mean requests, taken from the budget of a warming endpoint; 0 for a warm one.
     """
 
     customer: str
@@ -36,9 +36,10 @@
 
 
 class CustomerState(Struct, frozen=True):
-    """A customer's buckets, in units, and its open attempts.
+    """The levels of a customer's buckets, in units, and its number of attempts in flight.
 
-    `slice_deficit` and `ceiling_deficit` are what was spent and has not refilled, whatever the buckets' sizes are.
+    `slice_deficit` and `ceiling_deficit` are the units that were spent and have not refilled, whatever the capacities
+    of the buckets are.
     """
 
     customer: str
@@ -52,7 +53,7 @@
 
 
 class EndpointHealthState(Struct, frozen=True):
-    """What is known of the health of one incarnation of an endpoint; the fields are those of `EndpointHealth`."""
+    """The health of one incarnation of an endpoint; the fields are those of `EndpointHealth`."""
 
     started_at: float
     failure_weight: float
@@ -71,18 +72,16 @@
 
 
 class EndpointState(Struct, frozen=True):
-    """What is known of an endpoint's load.
-
-    It is without `health` where the predecessor is of a build that has it in another form.
+    """The load and the health of an endpoint.
 
     Attributes:
-        id: the endpoint.
-        concurrency_limit: attempts that it may hold from this gateway.
-        limit_was_reduced: the limit has been reduced once.
-        latency_ratio: mean latency as a share of the latency objective.
-        relative_latency: latency beside the mean of its class.
-        slow_start_level: what its slow start budget holds, in mean requests.
-        health: its health.
+        id: The id of the endpoint.
+        concurrency_limit: The number of attempts from this gateway that it may have in flight.
+        limit_was_reduced: Whether the limit has been reduced at least once.
+        latency_ratio: The mean latency as a share of the latency objective.
+        relative_latency: The latency relative to the mean of the request class.
+        slow_start_level: The level of its slow start budget, in mean requests.
+        health: The health; None if the predecessor's build has it in an incompatible format.
     """
 
     id: str
@@ -95,19 +94,19 @@
 
 
 class HandoverState(Struct, frozen=True):
-    """All that a process hands to the one that takes its place.
+    """The complete state that a process hands over to its successor.
 
     Attributes:
-        started_at: when the gateway began.
-        draining: an operator has drained it.
-        typical_throughput: mean requests a second for a unit of weight of a warm endpoint.
-        recent_work_rate: mean requests a second of the preferred endpoints.
-        mean_latencies: s, by class.
-        customers: those whose state differs from that of a new one.
-        endpoints: those of the list.
-        unseen_ceiling_levels: units that the ceiling of a customer not seen yet holds, by plan; where one is missing,
-            it has filled since `started_at`.
-        usage_known_since: as in `UsageUnknown`.
+        started_at: The time when the gateway started.
+        draining: Whether an operator has drained it.
+        typical_throughput: The throughput of a warm endpoint, in mean requests per second and unit of weight.
+        recent_work_rate: The throughput of the preferred endpoints, in mean requests per second.
+        mean_latencies: The mean latencies in seconds, by request class.
+        customers: The states of the customers; those that equal a new one may be missing.
+        endpoints: The states of the endpoints.
+        unseen_ceiling_levels: The units in the ceiling bucket of a customer not seen yet, by plan; where a plan is
+            missing, its bucket has been filling since `started_at`.
+        usage_known_since: The time before which usage is unknown, as in `UsageUnknown`.
     """
 
     started_at: float
--- a/ingress/decisions/hedging.py
+++ b/ingress/decisions/hedging.py
@@ -1,7 +1,7 @@
-"""Hedging: when a second attempt goes out beside a first one that is not answered.
+"""Hedging: when a second attempt is sent in parallel to an unanswered first one.
 
-An endpoint that takes a request and never answers would hold it until its deadline.  A hedge goes beside the first
-attempt, which may yet answer; it is bounded by the same budget as a retry.
+An endpoint that accepts a request and never answers would delay it until its deadline.  The first attempt continues
+alongside the hedge, because it may still be answered.  Hedges are limited by the same budget as retries.
 """
 
 from __future__ import annotations
@@ -16,28 +16,31 @@
 from ingress.decisions.attempts import InFlightRequest
 from ingress.decisions.timers import TimerToken
 
-HEDGE_DELAY_RATIO = 0.5  # of the longest latency objective: leaves time for an answer to the hedge
-HEDGE_MAX_SATURATION = -0.4  # there is capacity for an attempt that may not be needed
-HEDGE_WIN_RATE_TRUSTED = 0.75  # hedges that answer first this often are needed: they may use the capacity of retries
+# The delay of a hedge, as a ratio of the longest latency objective; it leaves time for an answer to the hedge.
+HEDGE_DELAY_RATIO = 0.5
+HEDGE_MAX_SATURATION = -0.4  # below this there is capacity for an attempt that may turn out to be unnecessary
+# Hedges that are answered first more often than this are necessary, and may use capacity up to the limit for retries.
+NECESSARY_HEDGE_WIN_RATE = 0.75
 INITIAL_HEDGE_WIN_RATE = 0.5
-HEDGE_WIN_RATE_SMOOTHING = 0.15  # weight of the newest hedge: about the last dozen count
+HEDGE_WIN_RATE_SMOOTHING = 0.15  # the weight of the newest hedge in a moving average over about the last dozen
 
 
 class HedgeCandidate(Struct, frozen=True):
-    """A request that is due a hedge at `due_at` (s)."""
+    """A request that may be hedged at the time `due_at`, in seconds."""
 
     due_at: float
     request: InFlightRequest
 
 
 class Hedging:
-    """The requests that may get a hedge, in the order in which they are due.
+    """The schedule of hedges.
 
     Attributes:
-        candidates: those whose first attempt was sent, answered ones included until they are due.
-        win_rate: the share of hedges that answered before the first attempt.
-        timer_running: a timer is set for the first candidate.
-        timer_due_at: s; when it is due.
+        candidates: The requests whose first attempt was sent, in the order in which their hedges are due; answered
+            requests stay until then.
+        win_rate: The share of hedges that were answered before the first attempt, as a moving average.
+        timer_running: Whether a timer is set for the first candidate.
+        timer_due_at: The time in seconds at which that timer is due.
     """
 
     def __init__(self) -> None:
@@ -47,7 +50,7 @@
         self.timer_due_at = 0.0
 
     def schedule(self, now: float, request: InFlightRequest, longest_latency_objective: float) -> SetTimer | None:
-        """Remember a request whose first attempt is sent now; return the timer that is needed for it, if any."""
+        """Add a request whose first attempt is sent now; return the timer to set, or None if one is already running."""
         delay = HEDGE_DELAY_RATIO * longest_latency_objective
         self.candidates.append(HedgeCandidate(now + delay, request))
         return None if self.timer_running else self._set_timer(now, delay)
@@ -58,28 +61,28 @@
         return SetTimer(delay, TimerToken.HEDGE)
 
     def due(self, now: float, timer_resolution: float) -> Iterator[InFlightRequest]:
-        """Remove the candidates that are due or answered, and yield those that may get a hedge.
+        """Remove the first candidates that are due or have no attempt in flight; yield those that may be hedged.
 
         A request without a deadline is streaming its response, which no other attempt can replace.
         """
         candidates = self.candidates
         while candidates and (candidates[0].due_at <= now + timer_resolution or not candidates[0].request.in_flight):
             request = candidates.popleft().request
-            one_attempt = not request.finished and len(request.in_flight) == 1
-            if one_attempt and request.deadline < inf and not request.customer.concurrency.reached():
+            has_one_attempt = not request.finished and len(request.in_flight) == 1
+            if has_one_attempt and request.deadline < inf and not request.customer.concurrency.reached():
                 yield request
 
     def next_timer(self, now: float) -> SetTimer | None:
-        """Return the timer for the first candidate that is left, if any."""
+        """Return the timer to set for the first remaining candidate, or None if there is none."""
         self.timer_running = False
         if not self.candidates:
             return None
         return self._set_timer(now, self.candidates[0].due_at - now)
 
     def max_saturation(self) -> float:
-        """Return the saturation from which no hedge is sent: a low one unless hedges have proved needed."""
-        return 0.0 if self.win_rate > HEDGE_WIN_RATE_TRUSTED else HEDGE_MAX_SATURATION
+        """Return the saturation from which on no hedge is sent: a low one, unless hedges have proved necessary."""
+        return 0.0 if self.win_rate > NECESSARY_HEDGE_WIN_RATE else HEDGE_MAX_SATURATION
 
     def record_winner(self, hedge_won: bool) -> None:
-        """Learn which of two attempts answered first."""
+        """Update the win rate with whether the hedge was answered before the first attempt."""
         self.win_rate += HEDGE_WIN_RATE_SMOOTHING * (hedge_won - self.win_rate)
--- a/ingress/decisions/log_limiter.py
+++ b/ingress/decisions/log_limiter.py
@@ -1,15 +1,15 @@
-"""Rate limit of log lines, so that a failure of many endpoints does not flood the log."""
+"""Rate limiting of log lines, so that a failure of many endpoints does not flood the log."""
 
 from __future__ import annotations
 
 from ingress.decisions.actions import LogMessage
 
-LOG_BURST = 20.0  # lines
-LOG_RATE = 1.0  # lines a second
+LOG_BURST = 20.0  # the number of lines that may be logged at once
+LOG_LINES_PER_S = 1.0
 
 
 class LogLimiter:
-    """A token bucket of log lines; the next line that passes tells how many were left out."""
+    """A token bucket of log lines; the first line after a suppression states how many lines were suppressed."""
 
     def __init__(self) -> None:
         self.tokens = LOG_BURST
@@ -17,8 +17,8 @@
         self.suppressed = 0
 
     def message(self, now: float, text: str) -> LogMessage | None:
-        """The line to log, or None if there were too many of late."""
-        refilled = LOG_RATE * max(0.0, now - self.refilled_at)
+        """Return the line to log, or None if there were too many recently."""
+        refilled = LOG_LINES_PER_S * max(0.0, now - self.refilled_at)
         self.tokens = min(LOG_BURST, self.tokens + refilled)
         self.refilled_at = now
         if self.tokens < 1:
@@ -26,6 +26,6 @@
             return None
         self.tokens -= 1
         if self.suppressed:
-            text = f"{text} ({self.suppressed} lines left out)"
+            text = f"{text} ({self.suppressed} lines suppressed)"
             self.suppressed = 0
         return LogMessage(text)
--- a/ingress/decisions/process_state.py
+++ b/ingress/decisions/process_state.py
@@ -1,4 +1,4 @@
-"""What the processes of one gateway tell each other: they serve side by side during an upgrade."""
+"""The state that the processes of one gateway share, since they serve in parallel during an upgrade."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class ProcessState:
-    """Shares usage with the other processes, and hands the whole state to a successor.
+    """Shares usage with the other processes, and hands over the complete state to a successor.
 
     Attributes:
-        group: the other processes.
+        group: The other processes of this gateway, as last reported.
     """
 
     def __init__(self, customers: CustomerQuotas, cluster: Cluster, draining: Draining) -> None:
@@ -24,28 +24,30 @@
         self._draining = draining
 
     def usage_is_shared(self) -> bool:
-        """Tell whether usage has to be sent to other processes, or written for the process that comes after a crash."""
+        """Return whether usage must be sent to other processes or persisted for the process after a crash."""
         return bool(self.group.other_processes or self.group.usage_persisted)
 
     def change_group(self, group: ProcessGroupChanged) -> None:
-        """Note the other processes; the attempts of those that have ended are over."""
+        """Record the other processes; without any, the attempts in flight elsewhere have ended."""
         self.group = group
         if not group.other_processes:
             for customer in self._customers.by_name.values():
                 customer.concurrency.in_flight_elsewhere = 0
 
     def record_usage(self, now: float, usage: QuotaUsage) -> None:
-        """Spend what another process of this gateway has spent, in quota and in slow start budgets."""
+        """Take the usage of another process of this gateway from the quota and the slow start budgets."""
         if usage.plan not in self._customers.plans:
             return
         self._customers.record_usage(now, usage)
         endpoint = self._cluster.endpoints.by_id.get(usage.endpoint_id) if usage.slow_start_work else None
         if endpoint is not None:
-            endpoint.slow_start_budget.refill(now)  # first, or what has refilled meanwhile would make up for it
+            endpoint.slow_start_budget.refill(
+                now
+            )  # first: otherwise the overflow of a full bucket would offset the work
             endpoint.slow_start_budget.take(usage.slow_start_work)
 
     def snapshot(self, now: float, include_customers: bool) -> HandoverState:
-        """Return what the process that takes this one's place must know."""
+        """Return the state for the process that replaces this one."""
         customers = self._customers
         cluster = self._cluster
         return HandoverState(
@@ -61,9 +63,9 @@
         )
 
     def restore(self, now: float, state: HandoverState) -> list[Action]:
-        """Take over from the predecessor or a checkpoint.
+        """Restore the state of the predecessor or of a checkpoint; return the actions that follow from it.
 
-        A fresh process would grant every customer a second burst, and hold every ceiling to be empty.
+        Without it, a new process would grant every customer a second burst and assume that every ceiling is empty.
         """
         customers = self._customers
         customers.usage_known_since = state.usage_known_since
--- a/ingress/decisions/quota.py
+++ b/ingress/decisions/quota.py
@@ -1,6 +1,7 @@
-"""The quota of one customer at one gateway: the sliced token bucket of docs/design.md.
+"""The quota of one customer at one gateway: the sliced token bucket described in docs/design.md.
 
-The slice holds an even part of the quota and burst headroom, which `overage_budget` bounds over the fleet.
+A slice has an even share of the quota and additional burst headroom.  `overage_budget` limits the use of that headroom
+over all gateways.
 """
 
 from __future__ import annotations
@@ -15,33 +16,35 @@
 from ingress.decisions.settings import Plan
 from ingress.decisions.token_bucket import SlicedBucket, TokenBucket
 
-CUSTOMER_IDLE_TIMEOUT_S = 60.0  # s: a customer unseen this long is forgotten if its buckets are full
-MIN_SLICE_REQUESTS = 2.0  # largest requests that a slice holds where one beyond the quota costs less than its worth
+CUSTOMER_IDLE_TIMEOUT_S = 60.0  # after this long without a request, a customer with full buckets is dropped
+# The minimum capacity of a slice, in requests of the largest size, for plans where serving a request beyond the quota
+# costs less than the request is worth.
+MIN_SLICE_REQUESTS = 2.0
 
 
 class BucketSize(Struct, frozen=True):
-    """A rate in units a second and a capacity in units."""
+    """The size of a token bucket: its rate in units per second and its capacity in units."""
 
     rate: float
     capacity: float
 
 
 class CustomerQuota:
-    """One customer: its slice of the quota, its slice of the ceiling, its limit on attempts in flight.
+    """The limits of one customer: its slices of the quota and of the ceiling, and its limit on attempts in flight.
 
     Attributes:
-        name: the customer's id.
-        plan: its plan.
-        gateway_count: gateways that share its quota evenly.
-        last_seen_at: s.
-        max_request_units: units of the largest request.
-        slice: what this gateway grants within the quota.
-        ceiling: what it never exceeds.
-        concurrency: attempts in flight and their limit.
+        name: The id of the customer.
+        plan: The plan of the customer.
+        gateway_count: The number of gateways that share the quota evenly.
+        last_seen_at: The time in seconds of the last request.
+        max_request_units: The units of the largest request.
+        slice: The bucket of units that this gateway grants within the quota.
+        ceiling: The bucket of units that this gateway never exceeds.
+        concurrency: The attempts in flight and their limit.
     """
 
     def __init__(self, name: str, plan: Plan, gateway_count: int, now: float, context: NewCustomerContext) -> None:
-        """Start with what refill has paid for since the gateway began, and burst headroom that is unearned."""
+        """Start with the units that refill has paid for since the gateway started, and with unearned burst headroom."""
         self.name = name
         self.plan = plan
         self.gateway_count = gateway_count
@@ -55,7 +58,7 @@
         unearned = 0.0
         if rate:
             with_headroom = earned + self.max_request_units  # one largest request that no refill has paid for
-            refilled = rate * context.time_without_usage  # all that can be left if the rest was spent
+            refilled = rate * context.time_without_usage  # all that remains if everything before was spent
             level = min(burst, with_headroom, refilled)
             unearned = level - earned
         self.slice = SlicedBucket(rate, burst, level, now, unearned)
@@ -67,9 +70,10 @@
     def slice_size(self) -> BucketSize:
         """Return the size of the slice.
 
-        The capacity is an even part of the burst and one largest request beside it, at least two where it costs less
-        to send one beyond the quota than to reject one within.  Requests come in bunches and unevenly: an even part
-        that holds less than a few would reject a customer well within its quota.
+        The capacity is an even share of the burst plus one request of the largest size, and at least two such requests
+        where forwarding one beyond the quota costs less than rejecting one within it.  Requests arrive in bursts and
+        unevenly over the gateways: a capacity of fewer than a few requests would reject customers that are well within
+        their quota.
         """
         plan = self.plan
         minimum = MIN_SLICE_REQUESTS * self.max_request_units if plan.over_quota_cost < 1.0 else 0.0
@@ -79,7 +83,7 @@
     def change_gateway_count(self, now: float, gateway_count: int) -> None:
         """Share the quota with another number of gateways.
 
-        The buckets keep what they hold: fresh ones would let the customer pass its ceiling.
+        The buckets keep their levels: new buckets would let the customer exceed its ceiling.
         """
         for bucket in (self.slice, self.ceiling):
             bucket.refill(now)
@@ -90,7 +94,7 @@
             bucket.deficit = max(0.0, bucket.capacity - bucket.level)
 
     def change_plan(self, now: float, plan: Plan, max_request_units: float) -> None:
-        """Go on under another plan; a new ceiling starts empty, for nobody has counted until now."""
+        """Apply another plan; a new ceiling starts empty, because usage has not been counted against it until now."""
         had_ceiling = self.plan.ceiling_rate > 0
         self.plan = plan
         self.max_request_units = max_request_units
@@ -108,16 +112,16 @@
         self.concurrency.resize(plan.concurrency_limit / count, now, NewCustomerContext())
 
     def slice_fits(self, now: float, units: float) -> bool:
-        """Tell whether the slice holds `units`; a request larger than the slice may save up for it."""
+        """Return whether the slice contains `units`; it may fill beyond its capacity for a larger request."""
         return self.slice.fits(now, units, max(self.slice.capacity, units))
 
-    def unearned_part(self, units: float) -> float:
-        """Return the part, 0 to 1, of a request of `units` for which there are only unearned units."""
-        part = self.slice.unearned_part(units) / units if self.plan.rate else 0.0
-        return max(part, self.concurrency.unearned_part())
+    def unearned_ratio(self, units: float) -> float:
+        """Return the share, 0 to 1, of a request of `units` that only unearned units or concurrency can cover."""
+        slice_ratio = self.slice.unearned_part(units) / units if self.plan.rate else 0.0
+        return max(slice_ratio, self.concurrency.unearned_part())
 
     def take(self, units: float) -> None:
-        """Spend the units of a request within the quota."""
+        """Take the units of a request within the quota from the slice."""
         unearned = self.slice.unearned - self.slice.unearned_part(units)
         self.slice.level = max(0.0, self.slice.level - units)
         self.slice.deficit += units
@@ -125,24 +129,24 @@
         self.concurrency.take()
 
     def settle(self, units: float) -> None:
-        """Take or give back (below 0) the difference to the true units, which the answer states."""
+        """Correct the slice by the difference between actual and estimated units; a negative difference is refunded."""
         self.slice.level = min(max(self.slice.capacity, self.slice.level), self.slice.level - units)
         self.slice.deficit = max(0.0, self.slice.deficit + units)
 
     def is_unrestricted(self, now: float) -> bool:
-        """Tell whether its buckets are full, or hold nobody back: then a new one would be equal to it."""
+        """Return whether no bucket restricts the customer, so that a newly created one would be equal to it."""
         slice_full = not self.plan.rate or self.slice.fits(now, self.slice.capacity)
         return slice_full and self.concurrency.budget_full() and self.ceiling.fits(now, self.ceiling.capacity)
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether it can be forgotten."""
+        """Return whether the customer can be dropped without changing any decision."""
         concurrency = self.concurrency
         unseen = now - self.last_seen_at > CUSTOMER_IDLE_TIMEOUT_S
         in_flight = concurrency.in_flight or concurrency.in_flight_elsewhere
         return unseen and not in_flight and self.is_unrestricted(now)
 
     def state(self, now: float) -> CustomerState:
-        """Return what another process of this gateway must know."""
+        """Return the state that another process of this gateway needs to continue."""
         self.slice.refill(now)
         self.ceiling.refill(now)
         return CustomerState(
--- a/ingress/decisions/retry.py
+++ b/ingress/decisions/retry.py
@@ -1,8 +1,8 @@
-"""Retries: when one more attempt is worth its load.
+"""Retries: when one more attempt is worth the load it causes.
 
-A retry or hedge goes out only if all three hold: there is time for an answer before the deadline, the retry budget has
-an attempt left, and the saturation is below a bound.  Retries on top of congestion would make it worse.  Whether one
-more attempt is harmless is another rule: `InFlightRequest.may_attempt`.
+A retry or hedge is sent only if all three conditions hold: there is time for an answer before the deadline, the retry
+budget has an attempt left, and the saturation is below a limit.  Retries during congestion would make it worse.
+Whether one more attempt is safe is a separate rule: `InFlightRequest.may_attempt`.
 """
 
 from __future__ import annotations
@@ -10,37 +10,38 @@
 from ingress.decisions.attempts import InFlightRequest
 from ingress.decisions.cluster import Cluster
 
-RETRY_BUDGET_RATIO = 0.15  # further attempts for each first attempt, on the mean
-RETRY_BUDGET_CAPACITY = 10.0  # attempts
-RETRY_BUDGET_START = 1.0  # attempts
+RETRY_BUDGET_RATIO = 0.15  # the mean number of retries and hedges for each first attempt
+RETRY_BUDGET_CAPACITY_ATTEMPTS = 10.0
+INITIAL_RETRY_BUDGET_ATTEMPTS = 1.0
 
 
 class RetryBudget:
-    """Bounds retries and hedges together by a share of the first attempts.
+    """The budget that limits retries and hedges together to a share of the first attempts.
 
     Attributes:
-        level: attempts that may be sent beside first attempts.
+        level: The number of attempts that may be sent in addition to first attempts.
     """
 
     def __init__(self, cluster: Cluster) -> None:
-        self.level = RETRY_BUDGET_START
+        self.level = INITIAL_RETRY_BUDGET_ATTEMPTS
         self._cluster = cluster
 
-    def earn(self) -> None:
-        """Account for a first attempt."""
-        self.level = min(RETRY_BUDGET_CAPACITY, self.level + RETRY_BUDGET_RATIO)
+    def deposit(self) -> None:
+        """Add the share of a retry that a first attempt pays for."""
+        self.level = min(RETRY_BUDGET_CAPACITY_ATTEMPTS, self.level + RETRY_BUDGET_RATIO)
 
-    def spend(self) -> None:
-        """Account for a retry or hedge."""
+    def withdraw(self) -> None:
+        """Take one attempt, for a retry or hedge that was sent."""
         self.level -= 1.0
 
     def allows(self, now: float, request: InFlightRequest, max_saturation: float) -> bool:
-        """Tell whether a retry or hedge is worth its load.
+        """Return whether a retry or hedge is worth the load it causes.
 
         Args:
-            now: s.
-            request: its deadline must leave time for an answer of mean latency.
-            max_saturation: as of `LoadShedder.saturation`; 0 for a retry, less for a hedge that may not be needed.
+            now: The current time in seconds.
+            request: The request, whose deadline must leave time for an answer of mean latency.
+            max_saturation: The limit for `LoadShedder.saturation`: 0 for a retry, lower for a hedge, which may turn out
+                to be unnecessary.
         """
         cluster = self._cluster
         in_time = now + cluster.latencies.mean_latency(request.request_class) < request.deadline
--- a/ingress/decisions/settings.py
+++ b/ingress/decisions/settings.py
@@ -1,6 +1,6 @@
-"""The settings that a gateway gets at its start and with each change of its configuration.
+"""The settings that a gateway receives at its start and with each change of its configuration.
 
-Times are in seconds, rates in units a second.  The names of the settings file are mapped to these fields by
+Times are in seconds, rates in units per second.  The names in the settings file are mapped to these fields by
 `ingress.configuration.settings_mapping`, and nowhere else.
 """
 
@@ -14,7 +14,7 @@
 
 
 class Idempotency(Enum):
-    """Whether a request of a class may be attempted again; the values are those of the settings file."""
+    """The rule by which a request of a class may be attempted again; the values are those of the settings file."""
 
     IDEMPOTENT = "safe"
     IDEMPOTENCY_KEY = "keyed"
@@ -22,37 +22,38 @@
 
 
 class KeyScope(Enum):
-    """For classes with an idempotency key: the endpoints that recognise a repeated key."""
+    """The endpoints that recognise a repeated key, for classes with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
     CELL = "cell"
 
 
-def _require(owner: str, settings: Struct, names: Iterable[str], minimum: float = 0.0) -> None:
+def _check_numbers(owner: str, settings: Struct, names: Iterable[str], minimum: float = 0.0) -> None:
+    """Check that the named fields are finite and at least `minimum`; `owner` is the prefix of the error message."""
     for name in names:
         value = getattr(settings, name)
         if not minimum <= value < inf:
-            raise ValueError(f"{owner}{name}: {value!r} is not a number from {minimum:g} up")
+            raise ValueError(f"{owner}{name}: {value!r} is not a finite number of at least {minimum:g}")
 
 
 class RequestClass(Struct, frozen=True):
     """A class of requests.
 
     Attributes:
-        name: as the settings and the clients name it.
-        latency_objective: s within which an answer has its full worth.
-        deadline: s that a client waits at the most.
-        priority_weight: what an answer in time is worth beside that of other classes.
-        late_weight_factor: the share of that which an answer after the objective is still worth.
-        idempotency: whether a request may be attempted again.
-        key_scope: which endpoints recognise a repeated idempotency key.
-        deduplication_window: s for which they recognise it.
-        latency_objective_stretch: s that the objective grows with each unit of work.
-        stream: answers come in chunks.
+        name: The name in the settings and in the requests of clients.
+        latency_objective: The seconds within which an answer has its full value.
+        deadline: The maximum time in seconds that a client waits.
+        priority_weight: The value of an answer in time, relative to that of other classes.
+        late_weight_factor: The share of that value which an answer after the latency objective still has.
+        idempotency: The rule by which a request may be attempted again.
+        key_scope: The endpoints that recognise a repeated idempotency key.
+        deduplication_window: The seconds for which they recognise it.
+        latency_objective_stretch: The seconds by which the latency objective grows with each unit of work.
+        stream: Whether answers are sent in chunks.
 
     Raises:
-        ValueError: a figure is negative or not finite.
+        ValueError: A number is negative or not finite.
     """
 
     name: str
@@ -67,7 +68,7 @@
     stream: bool = False
 
     def __post_init__(self) -> None:
-        _require(
+        _check_numbers(
             f"class {self.name}: ",
             self,
             (
@@ -82,22 +83,22 @@
 
 
 class Plan(Struct, frozen=True):
-    """A plan that customers buy: its quota, its limits and its prices.  A limit of 0 is no limit.
+    """A plan that customers buy: its quota, its limits and its prices.  A limit of 0 means no limit.
 
     Attributes:
-        name: as the settings and the clients name it.
-        rate: units a second of the quota.
-        burst: units that the quota allows at once.
-        concurrency_limit: attempts that may be open at once.
-        weight_factor: what an answer is worth beside one of other plans.
-        over_quota_value: the share of its worth that an answer beyond the quota has.
-        over_quota_cost: what such an answer costs, as a share of its worth.
-        ceiling_rate: units a second that a customer must never pass.
-        ceiling_burst: units that the ceiling allows at once.
-        ceiling_slack: units by which the ceiling may be passed without a violation.
+        name: The name in the settings and in the requests of clients.
+        rate: The units per second of the quota.
+        burst: The units that the quota allows at once.
+        concurrency_limit: The number of attempts that may be in flight at once.
+        weight_factor: The value of an answer, relative to that of other plans.
+        over_quota_value: The share of its value that an answer beyond the quota has.
+        over_quota_cost: The cost of an answer beyond the quota, as a share of its value.
+        ceiling_rate: The units per second that a customer must never exceed.
+        ceiling_burst: The units that the ceiling allows at once.
+        ceiling_slack: The units by which the ceiling may be exceeded without a violation.
 
     Raises:
-        ValueError: a figure is negative or not finite.
+        ValueError: A number is negative or not finite.
     """
 
     name: str
@@ -112,43 +113,44 @@
     ceiling_slack: float = 0.0
 
     def __post_init__(self) -> None:
-        _require(f"plan {self.name}: ", self, (name for name in self.__struct_fields__ if name != "name"))
+        _check_numbers(f"plan {self.name}: ", self, (name for name in self.__struct_fields__ if name != "name"))
 
 
 class Settings(Struct, frozen=True):
     """All settings of a gateway.
 
     Attributes:
-        classes: the classes of requests.
-        plans: the plans of customers.
-        gateway_index: the number of this gateway, from 0.
-        gateway_count: how many gateways there are.
-        zone: where this gateway runs.
-        timer_resolution: s by which a timer may come early or late.
-        answer_slack: s that an answer may come after its deadline.
-        drain_grace: s for which a draining endpoint may still be sent requests.
-        slow_start_duration: s after its start in which an endpoint warms up.
-        slow_start_initial_capacity: the share of its capacity that it has at its start.
-        overload_factor: times that capacity at which a warming endpoint fails.
-        overload_window: s over which its load is counted for that.
-        discovery_poll_deadline: s after a failed call within which discovery has to be asked again; 0: no bound.
-        polls_discovery: the endpoint list has to be subscribed to.
-        max_attempts: attempts for one request, the first included.
-        hedging_allowed: a second attempt may be open beside the first.
-        cancellation_allowed: attempts that are no longer needed may be cancelled.
-        health_checks_allowed: endpoints answer health checks truthfully.
-        peer_messages_allowed: gateways may send messages to each other.
-        peer_message_rate: such messages a second.
-        counter_available: there is a counter service.
-        counter_timeout: s to wait for its answer.
-        meter_period: s between two reports of a customer's metered use.
-        settles_units: answers tell the true units of a request.
-        max_request_units: units of the largest request.
-        health_check_cost: what one health check costs, as a share of a request's worth.
-        load_report_fields: what a load report holds.
+        classes: The classes of requests.
+        plans: The plans of customers.
+        gateway_index: The index of this gateway, from 0.
+        gateway_count: The number of gateways.
+        zone: The zone in which this gateway runs.
+        timer_resolution: The seconds by which a timer may fire early or late.
+        answer_slack: The seconds by which an answer may miss its deadline.
+        drain_grace: The seconds for which a draining endpoint may still be sent requests.
+        slow_start_duration: The seconds after its start during which an endpoint warms up.
+        slow_start_initial_capacity: The share of its capacity that an endpoint has at its start.
+        overload_factor: The load at which a warming endpoint fails, as a multiple of its current capacity.
+        overload_window: The seconds over which that load is counted.
+        discovery_poll_deadline: The seconds after a failed call within which discovery must be asked again; 0 for no
+            limit.
+        polls_discovery: Whether the endpoint list must be subscribed to.
+        max_attempts: The maximum number of attempts for one request, including the first.
+        hedging_allowed: Whether a second attempt may be in flight in parallel to the first.
+        cancellation_allowed: Whether attempts that are no longer needed may be cancelled.
+        health_checks_allowed: Whether endpoints answer health checks truthfully.
+        peer_messages_allowed: Whether gateways may send messages to each other.
+        peer_message_rate: The maximum number of such messages per second.
+        counter_available: Whether there is a counter service.
+        counter_timeout: The seconds to wait for an answer of the counter service.
+        meter_period: The seconds between two reports of a customer's metered usage.
+        settles_units: Whether answers state the actual units of a request.
+        max_request_units: The units of the largest request.
+        health_check_cost: The cost of one health check, as a share of the value of a request.
+        load_report_fields: The names of the fields in a load report.
 
     Raises:
-        ValueError: a figure is impossible, or there is no class or no plan.
+        ValueError: A number is out of range, or there is no class or no plan.
     """
 
     classes: tuple[RequestClass, ...]
@@ -181,10 +183,10 @@
 
     def __post_init__(self) -> None:
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: at least one request class is required")
         if not self.plans:
-            raise ValueError("plans: at least one is needed")
-        _require(
+            raise ValueError("plans: at least one plan is required")
+        _check_numbers(
             "",
             self,
             (
@@ -202,4 +204,4 @@
                 "health_check_cost",
             ),
         )
-        _require("", self, ("gateway_count", "max_attempts", "max_request_units"), minimum=1)
+        _check_numbers("", self, ("gateway_count", "max_attempts", "max_request_units"), minimum=1)
--- a/ingress/decisions/timers.py
+++ b/ingress/decisions/timers.py
@@ -1,4 +1,4 @@
-"""The timers of a gateway, which `SetTimer` and `TimerFired` name by a token."""
+"""The timers of a gateway, which `SetTimer` and `TimerFired` identify by a token."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class TimerToken(IntEnum):
-    """What a timer is for."""
+    """The purpose of a timer."""
 
-    CLEANUP = 0  # forget idle customers
+    CLEANUP = 0  # drop idle customers
     DISCOVERY_RETRY = 1  # watch the endpoint list again after a failure
-    HEDGE = 2  # the oldest request without an answer is due a hedge
-    DRAINED = 3  # the load balancer has surely noticed that this gateway is not ready
+    HEDGE = 2  # a hedge of the oldest unanswered request is due
+    DRAINED = 3  # the load balancer has certainly noticed that this gateway is not ready
--- a/ingress/decisions/token_bucket.py
+++ b/ingress/decisions/token_bucket.py
@@ -1,19 +1,19 @@
-"""Token buckets: the arithmetic under every quota, ceiling and budget.  Times are in seconds."""
+"""Token buckets: the arithmetic behind every quota, ceiling and budget.  Times are in seconds."""
 
 from __future__ import annotations
 
-ROUNDING_TOLERANCE = 1e-9  # units
+ROUNDING_TOLERANCE_UNITS = 1e-9
 
 
 class TokenBucket:
-    """A token bucket that fills at `rate` units a second up to `capacity` units.
+    """A token bucket that fills at `rate` units per second up to `capacity` units.
 
     Attributes:
-        rate: units a second.
-        capacity: units that a full bucket holds.
-        level: units that it holds at `updated_at`.
-        deficit: units that were spent and have not refilled, also where a smaller capacity holds less than that.
-        updated_at: when `level` and `deficit` were computed.
+        rate: The refill rate in units per second.
+        capacity: The units in a full bucket.
+        level: The units in the bucket at `updated_at`.
+        deficit: The units that were spent and have not refilled yet; may exceed the capacity after that was reduced.
+        updated_at: The time for which `level` and `deficit` were computed.
     """
 
     def __init__(self, rate: float, capacity: float, level: float, now: float) -> None:
@@ -24,7 +24,7 @@
         self.deficit = max(0.0, capacity - level)
 
     def refill(self, now: float, capacity: float | None = None) -> None:
-        """Add what has refilled since the last call, up to `capacity` (the bucket's own by default)."""
+        """Add the units refilled since the last call, up to `capacity` (by default that of the bucket)."""
         if capacity is None:
             capacity = self.capacity
         refilled = self.rate * (now - self.updated_at)
@@ -33,20 +33,21 @@
         self.updated_at = now
 
     def fits(self, now: float, units: float, capacity: float | None = None) -> bool:
-        """Refill up to `capacity` (the bucket's own by default), and tell whether it then holds `units`."""
+        """Refill up to `capacity` (by default that of the bucket), and return whether it then contains `units`."""
         self.refill(now, capacity)
-        return self.level >= units - ROUNDING_TOLERANCE
+        return self.level >= units - ROUNDING_TOLERANCE_UNITS
 
     def take(self, units: float) -> None:
-        """Spend `units`, whether or not the bucket holds them."""
+        """Spend `units`, whether or not the bucket contains them."""
         self.level -= units
         self.deficit += units
 
     def resize(self, now: float, rate: float, capacity: float) -> None:
-        """Go on with another rate and capacity.
+        """Apply another rate and capacity.
 
-        What is spent stays spent; otherwise changes to and fro would hand out a burst each time.  Where the new
-        capacity is less than the deficit, the bucket keeps its level, so that nobody is locked out.
+        Spent units stay spent: otherwise changing the capacity back and forth would grant a new burst each time.  Where
+        the new capacity is less than the deficit, the bucket keeps its level up to that capacity, so that the customer
+        is not locked out.
         """
         self.refill(now)
         if (rate, capacity) != (self.rate, self.capacity):
@@ -58,11 +59,11 @@
 class SlicedBucket(TokenBucket):
     """One gateway's slice of a limit, with burst headroom beyond its even share.
 
-    In a gateway that has just started, no refill has paid for that headroom yet.  As every gateway holds some, all
-    together would grant the limit many times over; so what is unearned is counted.
+    In a gateway that has just started, no refill has paid for that headroom yet.  As every gateway has such headroom,
+    all of them together would grant the limit many times over; therefore the unearned units are counted.
 
     Attributes:
-        unearned: units of the level that no refill has paid for yet.
+        unearned: The units of the level that no refill has paid for yet.
     """
 
     def __init__(self, rate: float, capacity: float, level: float, now: float, unearned: float) -> None:
@@ -70,7 +71,7 @@
         self.unearned = min(max(0.0, unearned), level)
 
     def refill(self, now: float, capacity: float | None = None) -> None:
-        """Refill; what a full bucket can't hold pays for unearned units."""
+        """Refill the bucket; units that overflow a full bucket pay for unearned units."""
         if self.unearned > 0.0:
             full = max(self.level, self.capacity if capacity is None else capacity)
             overflow = max(0.0, self.level + self.rate * (now - self.updated_at) - full)
@@ -78,5 +79,5 @@
         super().refill(now, capacity)
 
     def unearned_part(self, units: float) -> float:
-        """Return how many of `units` would be taken from unearned units."""
+        """Return how many of `units` would come from the unearned units."""
         return min(units, self.unearned, max(0.0, units + self.unearned - self.level))
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -743,7 +743,7 @@
     assert len(lines) == LOG_BURST
     harness.now += 5.0
     harness.fail(harness.endpoints[95], times=5)
-    assert "lines left out)" in next(
+    assert "lines suppressed)" in next(
         a.text for a in harness.outliers.pending_actions[len(lines) :] if isinstance(a, LogMessage)
     )
 
--- a/tests/test_overage.py
+++ b/tests/test_overage.py
@@ -51,18 +51,18 @@
 
 def test_a_slice_that_refills_after_overage_does_not_count_it_twice() -> None:
     customer = CustomerQuota("c", COSTLY, 200, 0.0, NewCustomerContext())
-    assert customer.unearned_part(1.0) == pytest.approx(0.99)  # burst 2 over 200 gateways is earned
+    assert customer.unearned_ratio(1.0) == pytest.approx(0.99)  # burst 2 over 200 gateways is earned
     customer.take(1.0)
     assert customer.slice.unearned == pytest.approx(0.01)  # a second advance: what is left of the room
     assert not customer.slice_fits(1.0, 1.0)
     assert customer.slice_fits(400.0, 1.0)
-    assert customer.unearned_part(1.0) == pytest.approx(0.0, abs=0.011)
+    assert customer.unearned_ratio(1.0) == pytest.approx(0.0, abs=0.011)
 
 
 @pytest.mark.parametrize("age", [0.0, 100.0, 1000.0])
 def test_headroom_is_earned_with_the_age_of_the_gateway(age: float) -> None:
     customer = CustomerQuota("c", COSTLY, 200, 0.0, NewCustomerContext(gateway_age=age))
-    assert customer.unearned_part(1.0) == pytest.approx(max(0.0, 1.0 - 0.01 - 0.003 * age))
+    assert customer.unearned_ratio(1.0) == pytest.approx(max(0.0, 1.0 - 0.01 - 0.003 * age))
 
 
 def test_customers_that_each_gateway_sees_for_the_first_time_are_granted_bounded_overage() -> None:
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -35,7 +35,7 @@
 class EveryAdvance(OverageBudget):
     """Gives every advance, as if there were no budget."""
 
-    def allow(self, value: float, unearned_part: float, plan: Plan, gateway_age: float) -> bool:
+    def allow(self, value: float, unearned_ratio: float, plan: Plan, gateway_age: float) -> bool:
         return True
 
 
