--- a/ingress/simulator_adapter.py
+++ b/ingress/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Connects the simulator to `Gateway`s: reads its messages on standard input, writes actions to standard output.
+"""Runs `Gateway`s for the simulator: reads its messages from standard input and writes actions to standard output.
 
-Unknown keys are ignored, a malformed line ends the program, and an exception in the decisions is reported to the
+Unknown keys are ignored, a malformed line ends the program, and an exception in the decision logic is reported to the
 simulator.
 """
 
@@ -50,7 +50,7 @@
 
 Message = Mapping[str, Any]
 
-OUTCOMES = {
+OUTCOMES_BY_CODE = {
     "completed": Outcome.OK,
     "errored": Outcome.ERROR,
     "saturated": Outcome.REJECTED,
@@ -62,8 +62,8 @@
 }
 
 
-class _Step(Struct, frozen=True):
-    """What one message means: settings start an instance, an event goes to it."""
+class _Command(Struct, frozen=True):
+    """A parsed message for one gateway instance: settings create the gateway, an event is handled by it."""
 
     instance: int | None = None
     event: Event | None = None
@@ -72,11 +72,11 @@
 
 
 class MalformedInputError(IngressError):
-    """A line of the input that the protocol does not allow."""
+    """The input violates the protocol of the simulator."""
 
 
 def read_endpoint(row: Message) -> Endpoint:
-    """Reads an entry of a list of endpoints."""
+    """Return the endpoint for an entry of an endpoint list."""
     return Endpoint(
         id=row["backend"],
         zone=row.get("failure-domain", ""),
@@ -88,11 +88,11 @@
     )
 
 
-def _read_load(message: Message) -> dict[str, float]:
+def _read_load_report(message: Message) -> dict[str, float]:
     return {LOAD_REPORT_FIELDS.get(name, name): value for name, value in message.get("telemetry", {}).items()}
 
 
-READERS: dict[str, Callable[[Message], Event]] = {
+EVENT_READERS: dict[str, Callable[[Message], Event]] = {
     "Ingress": lambda message: RequestReceived(
         message["rid"],
         message["service"],
@@ -112,30 +112,34 @@
         message["rid"],
         message.get("round-no", 0),
         message["backend"],
-        OUTCOMES[message["rc"]],
+        OUTCOMES_BY_CODE[message["rc"]],
         message.get("latency-s", 0.0),
         message.get("finished", False),
         message.get("used", 0),
         message.get("settled", 0),
-        _read_load(message),
+        _read_load_report(message),
     ),
     "Abandoned": lambda message: ClientDisconnected(message["rid"]),
     "Wake": lambda message: TimerFired(message.get("token", 0)),
     "HealthResult": lambda message: HealthCheckEnded(
-        message["backend"], OUTCOMES[message["rc"]], message.get("latency-s", 0.0), _read_load(message)
+        message["backend"], OUTCOMES_BY_CODE[message["rc"]], message.get("latency-s", 0.0), _read_load_report(message)
     ),
     "Whisper": lambda message: PeerMessage(message.get("sender", 0), message.get("content", "")),
     "CounterReply": lambda message: CounterReply(
-        message["name"], OUTCOMES[message["rc"]], message.get("level", 0.0), message.get("latency-s", 0.0)
+        message["name"], OUTCOMES_BY_CODE[message["rc"]], message.get("level", 0.0), message.get("latency-s", 0.0)
     ),
 }
 
 
 def write_action(action: Action) -> dict[str, Any]:
-    """Returns the message for an action, without its instance."""
+    """Return the message for an action, without the instance of its gateway.
+
+    Raises:
+        TypeError: The simulator has no message for the action.
+    """
     message = _write_request_action(action) or _write_other_action(action)
     if message is None:
-        raise TypeError(f"no such action: {action!r}")
+        raise TypeError(f"the simulator has no message for the action {action!r}")
     return message
 
 
@@ -175,60 +179,66 @@
 
 
 class SimulatorAdapter:
-    """The gateways hosted by one process, and the numbered lists of endpoints that messages refer to."""
+    """The gateways of one process, and the endpoint lists that messages refer to by number.
+
+    Attributes:
+        gateways: The gateways, by instance number.
+        endpoint_lists: The endpoint lists, by list number.
+    """
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
         self.endpoint_lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def reply(self, now: float, messages: Iterable[Message]) -> list[dict[str, Any]]:
-        """Handles a batch of messages at one time; returns the messages for the actions.
+    def handle_batch(self, now: float, messages: Iterable[Message]) -> list[dict[str, Any]]:
+        """Handle a batch of simultaneous messages, and return the messages for the actions.
 
         Raises:
-            MalformedInputError: A message that the protocol does not allow.
+            MalformedInputError: A message violates the protocol.
         """
         replies: list[dict[str, Any]] = []
         for message in messages:
             try:
-                step = self._read(message)
+                command = self._read_message(message)
             except (KeyError, TypeError, ValueError, AttributeError) as error:
-                raise MalformedInputError(f"{message.get('m')}: {type(error).__name__}: {error}") from error
+                text = f"invalid message {message.get('m')!r}: {type(error).__name__}: {error}"
+                raise MalformedInputError(text) from error
             try:
-                replies += self._perform(now, step)
-            except Exception as error:  # reported to the simulator, which stops with this text
+                replies += self._execute(now, command)
+            except Exception as error:  # reported to the simulator, which stops and shows this text
                 text = f"{type(error).__name__}: {error} at {now} on {message['m']}"
-                replies.append({"m": "BailOut", "ingress": step.instance, "reason-text": text})
+                replies.append({"m": "BailOut", "ingress": command.instance, "reason-text": text})
                 return replies
         return replies
 
-    def _perform(self, now: float, step: _Step) -> Iterator[dict[str, Any]]:
-        """Makes or feeds a gateway; yields the messages for its actions."""
-        if step.instance is None:
+    def _execute(self, now: float, command: _Command) -> Iterator[dict[str, Any]]:
+        """Create a gateway, or yield the messages for the actions with which it responds to an event."""
+        if command.instance is None:
             return
-        if step.settings is not None:
-            self.gateways[step.instance] = Gateway(step.settings, step.seed)
-        elif step.event is not None and step.instance in self.gateways:
-            for action in self.gateways[step.instance].handle(now, step.event):
-                yield write_action(action) | {"ingress": step.instance}
+        if command.settings is not None:
+            self.gateways[command.instance] = Gateway(command.settings, command.seed)
+        elif command.event is not None and command.instance in self.gateways:
+            for action in self.gateways[command.instance].handle(now, command.event):
+                yield write_action(action) | {"ingress": command.instance}
 
-    def _read(self, message: Message) -> _Step:
+    def _read_message(self, message: Message) -> _Command:
         name = message["m"]
         if name == "SnapshotRows":
             rows = message["members-list"]
             self.endpoint_lists[message.get("set-id", 0)] = tuple(read_endpoint(row) for row in rows)
-            return _Step()
+            return _Command()
         instance: int = message["ingress"]
         if name == "Start":
             seed = message["nonce64"]
-            return _Step(instance, settings=read_settings(message["env"]), seed=seed)
+            return _Command(instance, settings=read_settings(message["env"]), seed=seed)
         if name == "PowerOff":
             self.gateways.pop(instance, None)
-            return _Step(instance)
+            return _Command(instance)
         if name == "BackendsChanged":
-            return _Step(instance, self._read_endpoints_changed(message))
-        if name not in READERS:
-            raise ValueError(f"unknown message {name!r}")
-        return _Step(instance, READERS[name](message))
+            return _Command(instance, self._read_endpoints_changed(message))
+        if name not in EVENT_READERS:
+            raise ValueError(f"unknown message type {name!r}")
+        return _Command(instance, EVENT_READERS[name](message))
 
     def _read_endpoints_changed(self, message: Message) -> EndpointsChanged:
         kind = EndpointListKind(message["kind"])
@@ -238,24 +248,39 @@
 
 
 class _BatchReader:
-    """Collects the lines of the input into batches of one time each."""
+    """Groups the lines of the input into batches of simultaneous messages.
+
+    Attributes:
+        now: The time in seconds of the current batch; None outside a batch.
+        messages: The messages of the current batch.
+    """
 
     def __init__(self) -> None:
-        self.now: float | None = None  # of the open batch
+        self.now: float | None = None
         self.messages: list[Message] = []
 
     def read(self, line: str) -> tuple[float, list[Message]] | None:
-        """Reads a line; returns the time and the messages of a batch at its end."""
-        message = json.loads(line)
+        """Read a line; return the time and the messages of a batch if the line ends it, or None.
+
+        Raises:
+            MalformedInputError: The line violates the protocol.
+        """
+        try:
+            message = json.loads(line)
+        except ValueError as error:
+            raise MalformedInputError(f"invalid JSON: {error}") from error
         if not isinstance(message, dict):
-            raise MalformedInputError("a line must hold an object")
+            raise MalformedInputError("expected a JSON object")
         name = message.get("m")
         if name == "BeginBatch":
-            self.now = float(message["ts-s"])
+            try:
+                self.now = float(message["ts-s"])
+            except (KeyError, TypeError, ValueError) as error:
+                raise MalformedInputError(f"no valid time 'ts-s' in message {name!r}: {message!r}") from error
             self.messages = []
             return None
         if self.now is None:
-            raise MalformedInputError(f"{name!r} stands outside a batch")
+            raise MalformedInputError(f"message {name!r} is outside a batch")
         if name != "Eob":
             self.messages.append(message)
             return None
@@ -265,23 +290,23 @@
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answers each batch of `source` on `sink` until the input ends.
+    """Write the response to each batch of `source` to `sink` until the input ends.
 
     Raises:
-        MalformedInputError: The input is not what the protocol describes; the text names the line.
+        MalformedInputError: The input violates the protocol; the text states the line number.
     """
     adapter = SimulatorAdapter()
     reader = _BatchReader()
-    for number, line in enumerate(source, 1):
+    for line_number, line in enumerate(source, 1):
         if not line.strip():
             continue
         try:
             batch = reader.read(line)
             if batch is None:
                 continue
-            replies = adapter.reply(*batch)
+            replies = adapter.handle_batch(*batch)
         except (MalformedInputError, KeyError, TypeError, ValueError) as error:
-            raise MalformedInputError(f"line {number}: {error}") from error
+            raise MalformedInputError(f"line {line_number}: {error}") from error
         for reply in replies:
             sink.write(json.dumps(reply) + "\n")
         sink.write('{"m":"Finished"}\n')
@@ -291,7 +316,7 @@
 
 
 def main() -> int:
-    """Serves standard input and output; returns the exit status."""
+    """Serve standard input and output, and return the exit status."""
     try:
         serve(sys.stdin, sys.stdout)
     except MalformedInputError as error:
