--- a/tests/decision_log.py
+++ b/tests/decision_log.py
@@ -1,6 +1,6 @@
-"""Writes the actions and states of a gateway as text that hangs on no name of a type or field, for digests.
+"""Encodes the actions and states of a gateway as text for digests, independently of the names of types and fields.
 
-Log lines and the reasons told to the staff are left out.
+Log lines, and the reasons that are only meant for operators, are omitted.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 )
 from ingress.decisions.settings import Settings
 
-# The word that stands for each type, and its fields in their order.
+# The tag for each type, and its encoded fields in order.
 FIELDS: dict[type, tuple[str, str]] = {
     StartAttempt: ("send", "request_id endpoint_id timeout start_within"),
     CancelAttempt: ("cancel", "request_id attempt"),
@@ -70,7 +70,7 @@
 
 
 def encode(value: object) -> str:
-    """Numbers as floats with all their digits; mappings in the order of their keys."""
+    """Return a value as text: numbers as floats with all their digits, mappings in the order of their keys."""
     match value:
         case int() | float():
             return repr(float(value))
@@ -80,21 +80,22 @@
             return "[" + " ".join(map(encode, value)) + "]"
         case Mapping():
             return "{" + " ".join(f"{key}={encode(value[key])}" for key in sorted(value)) + "}"
-    kind, fields = FIELDS[type(value)]
-    return f"({kind} " + " ".join(encode(getattr(value, field)) for field in fields.split()) + ")"
+    tag, fields = FIELDS[type(value)]
+    return f"({tag} " + " ".join(encode(getattr(value, field)) for field in fields.split()) + ")"
 
 
 class RecordedGateway(Gateway):
-    """Writes every action to `lines`, which several gateways may share."""
+    """A gateway that appends every action to `lines`, a list that several gateways may share."""
 
     def __init__(self, settings: Settings, seed: int, lines: list[str]) -> None:
         super().__init__(settings, seed)
-        self.number, self.lines = settings.gateway_index, lines
+        self.number = settings.gateway_index
+        self.lines = lines
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = super().handle(now, event)
-        decided = (action for action in actions if not isinstance(action, LogMessage))
-        self.lines.extend(f"{now!r} {self.number} {encode(action)}" for action in decided)
+        recorded = (action for action in actions if not isinstance(action, LogMessage))
+        self.lines.extend(f"{now!r} {self.number} {encode(action)}" for action in recorded)
         return actions
 
     def finish(self, now: float) -> None:
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -1,12 +1,13 @@
-"""The decisions of the gateway on fixed seeds, as digests of every action: a change of layout or names changes none.
+"""Digests of all actions of the gateway for fixed seeds; refactoring and renaming must not change them.
 
-Streams of two kinds are played: days of the emulator, and events drawn for one gateway.  The table of
-`tests/decision_log.py` and the constructors of events are all that knows names of types and fields.
+There are two kinds of inputs: days of the emulator, and streams of events drawn for one gateway.  Only the table in
+`tests/decision_log.py` and the constructors of events depend on the names of types and fields.
 
-`python -m tests.test_decision_digest` records the digests again: only for a change that is meant to change decisions.
+`python -m tests.test_decision_digest` records the digests again; use it only after an intended change of decisions.
 
-The random draws of the emulator use `numpy.exp`.  With AVX-512 numpy computes it by code of its own, elsewhere by the C
-library, and the last bits of a draw differ.  Each of the two therefore has a table of days; one holds on any machine.
+The random draws of the emulator use `numpy.exp`.  With AVX-512 numpy uses its own implementation, elsewhere that of the
+C library, and the last bits of a draw differ.  Each of the two therefore has its own table of digests of the days; one
+of them applies on any machine.
 """
 
 from __future__ import annotations
@@ -87,7 +88,7 @@
 
 
 def numpy_uses_libm() -> bool:
-    """Whether `numpy.exp` gives the same bits as the C library on evenly spaced arguments of the size that is drawn."""
+    """Return whether `numpy.exp` equals that of the C library, bit by bit, for arguments in the range of the draws."""
     arguments = np.linspace(-5.0, 5.0, EXP_SAMPLES)
     by_numpy: list[float] = np.exp(arguments).tolist()
     return by_numpy == [math.exp(argument) for argument in arguments.tolist()]
@@ -105,13 +106,13 @@
 
 @pytest.mark.parametrize("name", STREAMS)
 def test_a_stream_of_events_has_the_recorded_decisions(name: str) -> None:
-    assert digest(EventStream(name).play()) == golden("streams", name)
+    assert digest(EventStream(name).run()) == golden("streams", name)
 
 
 def record() -> None:
-    """Writes the table of days of this machine's `numpy.exp`, and the streams; the other days need another machine."""
+    """Record the streams and the days for this machine's `numpy.exp`; the other table needs another machine."""
     days = {name: digest(play_day(name)) for name in DAYS}
-    streams = {name: digest(EventStream(name).play()) for name in STREAMS}
+    streams = {name: digest(EventStream(name).run()) for name in STREAMS}
     GOLDEN.parent.mkdir(exist_ok=True)
     found = json.loads(GOLDEN.read_text(encoding="utf-8")) if GOLDEN.exists() else {}
     if numpy_uses_libm():
