--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -1,4 +1,4 @@
-"""The decision module as a text, and its adapter."""
+"""The size and imports of the decision modules, and the simulator adapter."""
 
 from __future__ import annotations
 
@@ -17,28 +17,28 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-POLICY = [ROOT / path for path in DEPLOY["policy"]]
+DECISION_MODULES = [ROOT / path for path in DEPLOY["policy"]]
 
 
-@pytest.mark.parametrize("path", POLICY, ids=lambda path: path.stem)
+@pytest.mark.parametrize("path", DECISION_MODULES, ids=lambda path: path.stem)
 def test_each_decision_module_keeps_to_its_size(path: Path) -> None:
     lines = path.read_text(encoding="utf-8").splitlines()
     assert len([line for line in lines if line.strip()]) <= 460
     assert max(map(len, lines)) <= 120
 
 
-def test_the_platform_is_told_of_every_decision_module() -> None:
-    assert sorted(POLICY) == sorted((ROOT / "ingress" / "decisions").glob("[a-z]*.py"))
+def test_the_deployment_lists_every_decision_module() -> None:
+    assert sorted(DECISION_MODULES) == sorted((ROOT / "ingress" / "decisions").glob("[a-z]*.py"))
 
 
-def test_the_module_reads_no_clock_file_or_environment() -> None:
+def test_the_decision_modules_import_nothing_that_reads_clock_files_or_environment() -> None:
     names = set()
-    for node in (node for path in POLICY for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))):
+    for node in (node for path in DECISION_MODULES for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))):
         if isinstance(node, ast.Import):
-            names |= {a.name for a in node.names}
+            names |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
             names.add(node.module or "")
-    own = {f"ingress.decisions.{path.stem}" for path in POLICY}
+    own = {f"ingress.decisions.{path.stem}" for path in DECISION_MODULES}
     assert names <= own | {
         "__future__",
         "random",
@@ -73,11 +73,11 @@
 ]
 
 
-def wire(*messages: object) -> str:
-    return "".join(json.dumps(m) + "\n" for m in messages)
+def encode_lines(*messages: object) -> str:
+    return "".join(json.dumps(message) + "\n" for message in messages)
 
 
-def day(env: object = ENV) -> str:
+def scenario_input(env: object = ENV) -> str:
     start = [
         {"m": "BeginBatch", "ts-s": 1.0},
         {"m": "Start", "ingress": 3, "nonce64": 7, "env": env},
@@ -85,7 +85,7 @@
         {"m": "BackendsChanged", "ingress": 3, "kind": "restored", "epoch": 1, "set-id": 0},
         {"m": "Eob"},
     ]
-    ask = [
+    requests = [
         {"m": "BeginBatch", "ts-s": 1.5},
         *(
             {
@@ -105,30 +105,30 @@
         ),
         {"m": "Eob"},
     ]
-    return wire(*start, *ask)
+    return encode_lines(*start, *requests)
 
 
-def play(text: str) -> list[dict[str, object]]:
-    out = io.StringIO()
-    serve(io.StringIO(text), out)
-    return [json.loads(line) for line in out.getvalue().splitlines()]
+def run_adapter(text: str) -> list[dict[str, object]]:
+    output = io.StringIO()
+    serve(io.StringIO(text), output)
+    return [json.loads(line) for line in output.getvalue().splitlines()]
 
 
-def test_a_refusal_says_when_to_come_back_whatever_the_site_does_with_it() -> None:
+def test_a_rejection_has_a_retry_delay_even_if_the_site_disables_retry_after() -> None:
     env = ENV | {"limits": {"max-attempts": 3, "retry-after": False}}
-    declined = [m for m in play(day(env)) if m["m"] == "Decline"]
-    assert declined and all(m["retry-after-s"] == 0.5 for m in declined)  # one unit at rate 2
+    rejections = [m for m in run_adapter(scenario_input(env)) if m["m"] == "Decline"]
+    assert rejections and all(m["retry-after-s"] == 0.5 for m in rejections)  # one unit at rate 2
 
 
 def test_the_adapter_answers_each_batch_and_skips_unknown_keys() -> None:
-    lines = play(day())
+    lines = run_adapter(scenario_input())
     assert [m["m"] for m in lines].count("Finished") == 2
     assert {m["rid"] for m in lines if m["m"] in ("CallOut", "Decline")} == {f"r{n}" for n in range(30)}
     assert all(m["ingress"] == 3 for m in lines if m["m"] != "Finished")
 
 
 @pytest.mark.parametrize(
-    "line, named",
+    "line, expected_text",
     [
         ("{", "line 1"),
         ("[]", "object"),
@@ -139,43 +139,43 @@
         ('{"m":"BeginBatch","ts-s":1}\n', "inside a batch"),
     ],
 )
-def test_malformed_input_is_named(line: str, named: str) -> None:
-    with pytest.raises(MalformedInputError, match=named):
-        play(line)
+def test_the_error_for_malformed_input_names_the_problem(line: str, expected_text: str) -> None:
+    with pytest.raises(MalformedInputError, match=expected_text):
+        run_adapter(line)
 
 
-def test_impossible_settings_name_the_key() -> None:
+def test_the_error_for_invalid_settings_names_the_key() -> None:
     with pytest.raises(MalformedInputError, match="rate"):
-        play(day(ENV | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]}))
+        run_adapter(scenario_input(ENV | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]}))
     with pytest.raises(MalformedInputError, match="classes"):
-        play(day(ENV | {"categories": []}))
+        run_adapter(scenario_input(ENV | {"categories": []}))
 
 
-def test_a_failing_decision_becomes_a_fault_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+def test_an_exception_in_the_decisions_is_reported_to_the_simulator(monkeypatch: pytest.MonkeyPatch) -> None:
+    def failing_handle(*_: object) -> None:
         raise RuntimeError("on purpose")
 
-    monkeypatch.setattr("ingress.decisions.gateway.Gateway.handle", broken)
-    faults = [m for m in play(day()) if m["m"] == "BailOut"]
-    assert faults and "on purpose" in str(faults[0]["reason-text"])
+    monkeypatch.setattr("ingress.decisions.gateway.Gateway.handle", failing_handle)
+    reports = [m for m in run_adapter(scenario_input()) if m["m"] == "BailOut"]
+    assert reports and "on purpose" in str(reports[0]["reason-text"])
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "77"])
 def test_the_same_events_give_the_same_actions_whatever_the_hash_seed(hash_seed: str) -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress.simulator_adapter"],
-        input=day(),
+        input=scenario_input(),
         capture_output=True,
         text=True,
         cwd=ROOT,
         env=os.environ | {"PYTHONHASHSEED": hash_seed},
         check=True,
     )
-    assert [json.loads(line) for line in done.stdout.splitlines()] == play(day())
+    assert [json.loads(line) for line in completed.stdout.splitlines()] == run_adapter(scenario_input())
 
 
 def test_the_program_ends_with_a_message_on_malformed_input() -> None:
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress.simulator_adapter"],
         input="nonsense\n",
         capture_output=True,
@@ -183,4 +183,4 @@
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 2 and "line 1" in done.stderr and not done.stdout
+    assert completed.returncode == 2 and "line 1" in completed.stderr and not completed.stdout
--- a/tests/test_overage.py
+++ b/tests/test_overage.py
@@ -1,4 +1,4 @@
-"""What a gateway grants from units that no refill has paid for: bounded by plan, by customer and in all."""
+"""The units that a gateway grants before a refill has paid for them: limited by plan, by customer and in total."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 def aged(settings: Settings) -> Play:
-    """A gateway that has lived longer than a customer that asks too much takes to empty its burst."""
+    """Return a gateway older than the time in which a customer that exceeds its quota empties its burst."""
     play = Play(settings)
     play.now += 3 * COSTLY.burst / COSTLY.rate
     return play
 
 
 def first_requests(play: Play, customers: int, spread: int, plan: str = "basic") -> int:
-    """How many of so many customers, each seen for the first time, have their request sent on."""
+    """Return how many of `customers`, each seen for the first time, have their request forwarded."""
     passed = 0
     for number in range(customers):
         for sent in sends(play.ask(0.0, customer=f"customer-{number}", gateway_count=spread, plan=plan)):
@@ -44,16 +44,16 @@
     bucket = SlicedBucket(rate=0.1, capacity=3.0, level=3.0, now=0.0, unearned=2.5)
     assert bucket.unearned_part(0.5) == 0.0
     assert bucket.unearned_part(2.0) == pytest.approx(1.5)
-    bucket.refill(10.0)  # it is full, so what it earns pays for room
+    bucket.refill(10.0)  # the bucket is full, so refilled units pay for unearned ones
     assert bucket.unearned == pytest.approx(1.5)
     assert bucket.unearned_part(2.0) == pytest.approx(0.5)
 
 
 def test_a_slice_that_refills_after_overage_does_not_count_it_twice() -> None:
     customer = CustomerQuota("c", COSTLY, 200, 0.0, NewCustomerContext())
-    assert customer.unearned_ratio(1.0) == pytest.approx(0.99)  # burst 2 over 200 gateways is earned
+    assert customer.unearned_ratio(1.0) == pytest.approx(0.99)  # burst 2 divided by 200 gateways is earned
     customer.take(1.0)
-    assert customer.slice.unearned == pytest.approx(0.01)  # a second advance: what is left of the room
+    assert customer.slice.unearned == pytest.approx(0.01)  # what remains of the headroom for a second request
     assert not customer.slice_fits(1.0, 1.0)
     assert customer.slice_fits(400.0, 1.0)
     assert customer.unearned_ratio(1.0) == pytest.approx(0.0, abs=0.011)
@@ -66,23 +66,23 @@
 
 
 def test_customers_that_each_gateway_sees_for_the_first_time_are_granted_bounded_overage() -> None:
-    """Without the bound all 200 are sent on, by each of 200 gateways."""
-    # where what is earned equals what is spent
-    given = sqrt(MAX_OVERAGE_COST_RATIO / (COSTLY.over_quota_cost * OVER_QUOTA_RATIO))
+    """Guards against each of 200 gateways forwarding the requests of all customers: that happens without the budget."""
+    # In the steady state the budget receives as much as it spends.
+    granted_ratio = sqrt(MAX_OVERAGE_COST_RATIO / (COSTLY.over_quota_cost * OVER_QUOTA_RATIO))
     passed = first_requests(aged(SHARED), customers=400, spread=200)
-    assert passed == pytest.approx(400 * given, rel=0.1)
+    assert passed == pytest.approx(400 * granted_ratio, rel=0.1)
 
 
 def test_while_customers_still_have_their_bursts_overage_costs_nothing() -> None:
     assert first_requests(Play(SHARED), customers=100, spread=200) == 100
 
 
-def test_plans_that_lose_nothing_beyond_the_quota_are_not_bounded() -> None:
+def test_plans_without_an_over_quota_cost_are_not_limited() -> None:
     free = replace(COSTLY, over_quota_cost=0.0)
     assert first_requests(Play(replace(SHARED, plans=(free,))), customers=100, spread=200) == 100
 
 
-def test_a_plan_that_costs_less_goes_on_where_one_that_costs_more_is_rejected() -> None:
+def test_a_plan_with_a_low_over_quota_cost_is_granted_where_a_costlier_one_is_rejected() -> None:
     cheap = replace(COSTLY, name="cheap", over_quota_cost=0.3)
     play = aged(replace(SHARED, plans=(COSTLY, cheap)))
     passed = {"basic": 0, "cheap": 0}
@@ -95,24 +95,24 @@
     assert 40 < passed["basic"] < 160
 
 
-def test_rejected_overage_is_answered_at_once_with_the_time_of_its_refill() -> None:
+def test_rejected_overage_is_answered_immediately_with_the_time_until_its_refill() -> None:
     play = aged(SHARED)
     first_requests(play, customers=50, spread=200)
     rejected = [
         action for action in play.ask(0.0, customer="new", gateway_count=200) if isinstance(action, RejectRequest)
     ]
-    assert [one.reason for one in rejected] == ["advance"]
+    assert [rejection.reason for rejection in rejected] == ["advance"]
     assert rejected[0].retry_after == pytest.approx(1 / 0.6)
 
 
-def test_the_same_quota_at_one_gateway_is_never_bounded_by_the_overage_budget() -> None:
+def test_a_quota_at_a_single_gateway_is_never_limited_by_the_overage_budget() -> None:
     play = Play(replace(SHARED, gateway_count=1))
     for _ in range(30):
-        [sent] = sends(play.ask(10.0, gateway_count=1))  # a sixth of what it may ask
+        [sent] = sends(play.ask(10.0, gateway_count=1))  # a sixth of its rate
         play.end(sent, Outcome.OK, 0.0)
 
 
-def test_changes_of_the_settings_hand_out_no_fresh_budget() -> None:
+def test_changes_of_the_settings_grant_no_new_budget() -> None:
     play = aged(SHARED)
     first_requests(play, customers=200, spread=200)
     before = play.gateway.admission.overage_budget.level, play.gateway.admission.overage_budget.grant_rate
@@ -121,44 +121,43 @@
     assert (play.gateway.admission.overage_budget.level, play.gateway.admission.overage_budget.grant_rate) == before
 
 
-def test_the_budget_holds_at_most_one_request_of_the_plan_that_costs_most() -> None:
+def test_the_budget_is_at_most_the_cost_of_one_request_of_the_costliest_plan() -> None:
     budget = OverageBudget(replace(SETTINGS, plans=(COSTLY,), max_request_units=8.0))
     for _ in range(1000):
         assert budget.allow(1.0, 0.0, COSTLY, 100.0)
     assert budget.level == pytest.approx(8 * 1.2)
 
 
-def test_the_concurrency_budget_is_spent_while_attempts_are_in_flight_and_fills_by_its_slice() -> None:
-    time = ConcurrencyBudget(0.01, now=0.0, context=NewCustomerContext(mean_attempt_duration=0.1))
-    time.advance(10.0, 0, 0.1)
-    assert time.level == CONCURRENCY_BUDGET_CAPACITY
-    assert time.unearned == pytest.approx(1.0)
-    time.advance(10.1, 1, 0.1)  # one attempt, out for the mean
-    assert time.level == pytest.approx(1.01)
-    time.advance(20.1, 1, 0.1)  # one that hangs: no more is lost than there was
-    assert time.level == 0.0
-
-
-@pytest.mark.parametrize(("cap", "spread"), [(2, 150), (5, 40), (3, 4)])
-def test_a_concurrency_limit_holds_over_all_gateways_on_the_mean(cap: int, spread: int) -> None:
-    """A customer that asks each gateway as soon as its last answer is there has `spread` attempts out without it."""
-    seconds, mean = 400.0, 0.5
-    play = Play(replace(SETTINGS, gateway_count=spread, plans=(Plan("basic", concurrency_limit=cap),)))
-    out = 0.0
+def test_the_concurrency_budget_is_spent_by_attempts_in_flight_and_refills_at_its_slice() -> None:
+    budget = ConcurrencyBudget(0.01, now=0.0, context=NewCustomerContext(mean_attempt_duration=0.1))
+    budget.advance(10.0, 0, 0.1)
+    assert budget.level == CONCURRENCY_BUDGET_CAPACITY
+    assert budget.unearned == pytest.approx(1.0)
+    budget.advance(10.1, 1, 0.1)  # one attempt, in flight for the mean duration
+    assert budget.level == pytest.approx(1.01)
+    budget.advance(20.1, 1, 0.1)  # one attempt that hangs: the budget does not fall below 0
+    assert budget.level == 0.0
+
+
+@pytest.mark.parametrize(("limit", "gateway_count"), [(2, 150), (5, 40), (3, 4)])
+def test_a_concurrency_limit_is_kept_over_all_gateways_on_average(limit: int, gateway_count: int) -> None:
+    """Guards against one attempt in flight at each gateway, if a customer sends one after each answer."""
+    seconds = 400.0
+    mean_duration = 0.5
+    play = Play(replace(SETTINGS, gateway_count=gateway_count, plans=(Plan("basic", concurrency_limit=limit),)))
+    time_in_flight = 0.0
     while play.now < seconds:
-        for sent in sends(play.ask(0.0, gateway_count=spread)):
-            play.end(sent, Outcome.OK, mean)
-            out += mean
+        for sent in sends(play.ask(0.0, gateway_count=gateway_count)):
+            play.end(sent, Outcome.OK, mean_duration)
+            time_in_flight += mean_duration
         play.now += 0.05
-    assert out * spread / seconds <= cap * 1.15 + CONCURRENCY_BUDGET_CAPACITY * spread * mean / seconds
+    initial_budgets = CONCURRENCY_BUDGET_CAPACITY * gateway_count * mean_duration / seconds
+    assert time_in_flight * gateway_count / seconds <= limit * 1.15 + initial_budgets
 
 
 def test_a_limit_that_leaves_a_gateway_one_attempt_or_more_needs_no_concurrency_budget() -> None:
-    assert (
-        CustomerQuota("c", Plan("basic", concurrency_limit=4), 4, 0.0, NewCustomerContext()).concurrency.budget is None
-    )
-    assert (
-        CustomerQuota("c", Plan("basic", concurrency_limit=4), 5, 0.0, NewCustomerContext()).concurrency.budget
-        is not None
-    )
-    assert CustomerQuota("c", COSTLY, 5, 0.0, NewCustomerContext()).concurrency.budget is None
+    plan = Plan("basic", concurrency_limit=4)
+    context = NewCustomerContext()
+    assert CustomerQuota("c", plan, 4, 0.0, context).concurrency.budget is None
+    assert CustomerQuota("c", plan, 5, 0.0, context).concurrency.budget is not None
+    assert CustomerQuota("c", COSTLY, 5, 0.0, context).concurrency.budget is None
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""The sliced bucket of each customer, with no word from the counter or from other gateways."""
+"""The sliced token bucket of each customer, without the counter service and messages of other gateways."""
 
 from __future__ import annotations
 
@@ -16,45 +16,46 @@
 
 
 def spend(play: Play, times: int, **changes: object) -> int:
-    """How many of `times` requests at one moment are sent on; each is answered at once."""
+    """Return how many of `times` simultaneous requests are forwarded; each is answered immediately."""
     passed = 0
     for _ in range(times):
-        done = sends(play.ask(0.0, **changes))
-        passed += len(done)
-        for sent in done:
+        attempts = sends(play.ask(0.0, **changes))
+        passed += len(attempts)
+        for sent in attempts:
             play.end(sent, Outcome.OK, 0.0)
     return passed
 
 
-def test_a_slice_holds_its_part_of_the_burst_and_refuses_the_rest_at_once() -> None:
+def test_a_slice_grants_its_share_of_the_burst_and_the_rest_is_rejected_immediately() -> None:
     play = Play()
-    assert spend(play, 10) == 5  # burst 8 over two gateways, and one request
-    refused = play.ask()[-1]
-    assert refused == RejectRequest(f"r{play.count}", 0.5, "quota")  # one unit at rate 2: it may come to any gateway
+    assert spend(play, 10) == 5  # burst 8 divided by two gateways, plus one request
+    rejection = play.ask()[-1]
+    # One unit refills in 0.5 s at rate 2, the rate over all gateways, because the retry may reach any of them.
+    assert rejection == RejectRequest(f"r{play.count}", 0.5, "quota")
     play.now += 2.0
     assert spend(play, 10) == 2
 
 
 def test_a_request_larger_than_the_slice_fits_a_full_one() -> None:
     play = Play()
-    assert spend(play, 1) == 1  # the slice holds 5
+    assert spend(play, 1) == 1  # the slice contains 5 units
     assert len(sends(play.ask(units=6.0))) == 0
     play.now += 3.0
     assert len(sends(play.ask(units=6.0))) == 1
 
 
-def test_a_slice_starts_with_one_request_however_small_its_part() -> None:
+def test_a_slice_starts_with_one_request_however_small_its_share() -> None:
     play = Play()
-    assert len(sends(play.ask(gateway_count=100))) == 1  # burst 8 over 100
+    assert len(sends(play.ask(gateway_count=100))) == 1  # burst 8 divided by 100 gateways
     assert len(sends(play.ask(gateway_count=100))) == 0
     play.now += 45.0
     assert len(sends(play.ask(gateway_count=100))) == 0
-    play.now += 1.5  # what the second lacked, at 2 over 100
+    play.now += 1.5  # refills the missing units of the second request, at rate 2 divided by 100
     assert len(sends(play.ask(gateway_count=100))) == 1
 
 
 @pytest.mark.parametrize(("spread", "rate"), [(1, 2.0), (2, 1.0), (4, 0.5), (16, 0.125), (200, 0.01)])
-def test_a_slice_fills_at_an_even_part_however_many_share(spread: int, rate: float) -> None:
+def test_a_slice_refills_at_an_even_share_of_the_rate_for_any_gateway_count(spread: int, rate: float) -> None:
     play = Play()
     play.ask(gateway_count=4)
     play.ask(gateway_count=spread)
@@ -63,18 +64,21 @@
     assert customer.slice.capacity == pytest.approx(min(8.0, max(8.0 / spread + 1.0, 2.0)))
 
 
-@pytest.mark.parametrize(("over_cost", "held"), [(0.5, 2), (1.0, 1), (1.2, 1)])
-def test_a_slice_holds_two_requests_where_one_beyond_the_quota_costs_little(over_cost: float, held: int) -> None:
+@pytest.mark.parametrize(("over_cost", "capacity"), [(0.5, 2), (1.0, 1), (1.2, 1)])
+def test_a_slice_has_room_for_two_requests_if_one_beyond_the_quota_costs_little(
+    over_cost: float, capacity: int
+) -> None:
     plan = replace(SETTINGS.plans[0], burst=4.0, over_quota_cost=over_cost)
     play = Play(replace(SETTINGS, gateway_count=40, plans=(plan,)))
-    assert spend(play, 5, gateway_count=30) == 1  # a fresh gateway: all thirty are, and give out what they hold at once
-    play.now += 30.0 / plan.rate  # an even part of the quota has brought one more request to each slice
-    assert spend(play, 5, gateway_count=30, customer="another") == held
+    # The gateways have just started: all thirty would grant the units in their slices at the same time.
+    assert spend(play, 5, gateway_count=30) == 1
+    play.now += 30.0 / plan.rate  # refills one more request in each slice
+    assert spend(play, 5, gateway_count=30, customer="another") == capacity
     play.now += 60.0 / plan.rate
-    assert spend(play, 5, gateway_count=30) == held
+    assert spend(play, 5, gateway_count=30) == capacity
 
 
-def test_guessed_units_are_settled_by_the_answer() -> None:
+def test_estimated_units_are_corrected_by_the_answer() -> None:
     play = Play()
     sent = sends(play.ask(units=1.0))[0]
     play.end(sent, Outcome.OK, 0.0, settled_units=5.0)
@@ -83,13 +87,13 @@
     assert spend(play, 10) == 1
 
 
-def test_plans_without_rate_know_only_their_cap_on_open_attempts() -> None:
+def test_a_plan_without_a_rate_has_only_its_concurrency_limit() -> None:
     play = Play(replace(SETTINGS, plans=(Plan("basic", concurrency_limit=4),)))
-    assert sum(len(sends(play.ask())) for _ in range(5)) == 2  # cap 4 over two gateways
+    assert sum(len(sends(play.ask())) for _ in range(5)) == 2  # limit 4 divided by two gateways
 
 
-def test_customers_of_a_plan_without_a_rate_are_forgotten_too() -> None:
-    """What they spend never refills, and holds nobody back."""
+def test_idle_customers_of_a_plan_without_a_rate_are_dropped_too() -> None:
+    """Their spent units never refill, and restrict nothing."""
     play = Play(replace(SETTINGS, plans=(Plan("basic", rate=0.0, burst=8.0),)))
     for n in range(50):
         assert spend(play, 20, customer=f"c{n}") == 20
@@ -97,7 +101,7 @@
     assert not play.gateway.customers
 
 
-def test_idle_full_customers_are_forgotten() -> None:
+def test_idle_customers_with_full_buckets_are_dropped() -> None:
     play = Play()
     for n in range(50):
         play.ask(customer=f"c{n}")
@@ -107,23 +111,23 @@
     assert not play.gateway.customers
 
 
-def test_a_marked_repeat_too_late_for_its_aim_is_refused() -> None:
+def test_a_marked_retry_too_late_for_its_latency_objective_is_rejected() -> None:
     play = Play()
     assert sends(play.ask(time_left=4.0))
     assert sends(play.ask(time_left=3.7, is_retry=True))
-    assert not sends(play.ask(time_left=2.5, is_retry=True))  # 1.5 s gone, aim 1 s
+    assert not sends(play.ask(time_left=2.5, is_retry=True))  # 1.5 s have passed, the objective is 1 s
 
 
 @pytest.mark.parametrize(
     "changes",
     [{"counter_available": True, "counter_timeout": 0.05}, {"peer_messages_allowed": True, "peer_message_rate": 100.0}],
 )
-def test_the_ordinary_path_learns_nothing_from_others(changes: dict[str, float]) -> None:
-    """A call for each low slice held the request back, and old totals were lent by several gateways."""
+def test_ordinary_requests_use_neither_the_counter_nor_peer_messages(changes: dict[str, float]) -> None:
+    """Guards against delays by a call for each low slice, and against several gateways lending from stale totals."""
     play = Play(replace(SETTINGS, **changes))
     play.at(0.0, PeerMessage(1, "1"))
     play.at(0.0, CounterReply(1, Outcome.OK, 0.0))
     assert spend(play, 10) == 5
     play.at(60.0, TimerFired(0))
-    assert not [a for a in play.actions if isinstance(a, AddToCounter | SendPeerMessage)]
+    assert not [action for action in play.actions if isinstance(action, AddToCounter | SendPeerMessage)]
     assert spend(play, 10) == 5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each kept by one gateway alone."""
+"""The rules that each gateway enforces alone: safe retries, final answers, endpoint lists, slow start, ceilings."""
 
 from __future__ import annotations
 
@@ -22,17 +22,17 @@
 from .conftest import BASIC, FLEET, KEYED, SAFE, SETTINGS, UNSAFE, Play, finals, scoped, sends, server
 
 OUTCOMES = tuple(Outcome)
-UNPROVEN = tuple(o for o in OUTCOMES if not o.never_ran)
+MAY_HAVE_RUN_OUTCOMES = tuple(outcome for outcome in OUTCOMES if not outcome.never_ran)
 
 
 def request_after(cls: RequestClass, outcome: Outcome | None) -> InFlightRequest:
-    """A request whose one attempt, to b0 (zone a, cell 0), ended so, or is out for None."""
+    """Return a request whose only attempt, to b0 (zone a, cell 0), had this outcome, or is in flight if None."""
     play = Play(replace(SETTINGS, classes=(cls,)))
     sent = sends(play.ask(request_class=cls.name))[0]
     request = play.gateway.requests["r1"]
-    number_one = server(FLEET[0], play.now)
-    request.attempts = [Attempt(number_one, play.now)]
-    request.may_have_run = [] if outcome is not None and outcome.never_ran else [Attempt(number_one, play.now)]
+    first_endpoint = server(FLEET[0], play.now)
+    request.attempts = [Attempt(first_endpoint, play.now)]
+    request.may_have_run = [] if outcome is not None and outcome.never_ran else [Attempt(first_endpoint, play.now)]
     if outcome is not None:
         request.in_flight.clear()
     assert sent.request_id == "r1"
@@ -45,35 +45,39 @@
     [SAFE, scoped(KeyScope.ALL), scoped(KeyScope.ZONE), scoped(KeyScope.CELL), UNSAFE],
     ids=["safe", "all", "zone", "cell", "unsafe"],
 )
-def test_one_table_says_what_may_be_sent_or_refused(cls: RequestClass, outcome: Outcome | None) -> None:
+def test_which_endpoints_may_get_another_attempt_and_when_a_request_may_be_rejected(
+    cls: RequestClass, outcome: Outcome | None
+) -> None:
     request = request_after(cls, outcome)
     proven = outcome is not None and outcome.never_ran
     settings = replace(SETTINGS, hedging_allowed=True)
-    allowed = {b.id for b in FLEET if request.may_attempt(server(b, 100.0), 100.5, settings)}
-    everything = {b.id for b in FLEET}
+    allowed = {entry.id for entry in FLEET if request.may_attempt(server(entry, 100.0), 100.5, settings)}
+    all_endpoints = {entry.id for entry in FLEET}
     if proven or cls.idempotency is Idempotency.IDEMPOTENT:
-        expected = everything
+        expected = all_endpoints
     elif cls.idempotency is Idempotency.NOT_IDEMPOTENT:
         expected = set()
     else:
-        expected = {KeyScope.ALL: everything, KeyScope.ZONE: {"b0", "b2"}, KeyScope.CELL: {"b0", "b1"}}[cls.key_scope]
+        expected = {KeyScope.ALL: all_endpoints, KeyScope.ZONE: {"b0", "b2"}, KeyScope.CELL: {"b0", "b1"}}[
+            cls.key_scope
+        ]
     assert allowed == expected
     assert request.may_reject() == (proven or cls.idempotency is Idempotency.IDEMPOTENT)
 
 
-def test_keyed_is_not_sent_again_after_its_window() -> None:
+def test_a_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
     request = request_after(KEYED, Outcome.TIMEOUT)
-    first = server(FLEET[0], 100.0)
-    assert request.may_attempt(first, 100.0 + KEYED.deduplication_window - 0.1, SETTINGS)
-    assert not request.may_attempt(first, 100.0 + KEYED.deduplication_window, SETTINGS)
+    first_endpoint = server(FLEET[0], 100.0)
+    assert request.may_attempt(first_endpoint, 100.0 + KEYED.deduplication_window - 0.1, SETTINGS)
+    assert not request.may_attempt(first_endpoint, 100.0 + KEYED.deduplication_window, SETTINGS)
 
 
-def test_no_second_copy_where_it_is_not_allowed() -> None:
+def test_no_second_attempt_in_parallel_where_hedging_is_not_allowed() -> None:
     assert not request_after(SAFE, None).may_attempt(server(FLEET[1], 100.0), 100.1, SETTINGS)
 
 
-@pytest.mark.parametrize("outcome", UNPROVEN)
-def test_unsafe_that_may_have_run_fails_and_is_never_refused(outcome: Outcome) -> None:
+@pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
+def test_an_unsafe_request_that_may_have_run_fails_and_is_never_rejected(outcome: Outcome) -> None:
     play = Play()
     sent = sends(play.ask(request_class="pay"))[0]
     after = play.end(sent, outcome, request_finished=outcome is Outcome.OK)
@@ -84,7 +88,8 @@
 def test_every_request_has_one_answer_when_all_attempts_fail() -> None:
     play = Play(replace(SETTINGS, plans=(replace(BASIC, rate=1000.0, burst=1000.0),)))
     for n in range(60):
-        attempt, sent = 0, sends(play.ask(0.2, request_class=("read", "order", "pay")[n % 3]))
+        attempt = 0
+        sent = sends(play.ask(0.2, request_class=("read", "order", "pay")[n % 3]))
         while sent:
             sent = sends(play.end(sent[0], Outcome.RESET, 0.01, attempt=attempt))
             attempt += 1
@@ -93,14 +98,14 @@
     assert not play.gateway.requests
 
 
-def test_the_timeout_at_the_deadline_brings_the_final_answer() -> None:
+def test_the_timeout_at_the_deadline_leads_to_the_final_answer() -> None:
     play = Play()
     sent = sends(play.ask(time_left=2.0))[0]
     assert sent.timeout == pytest.approx(2.0)
     assert len(finals(play.end(sent, Outcome.TIMEOUT, 2.0))) == 1
 
 
-def test_nothing_goes_out_for_a_request_that_is_over() -> None:
+def test_nothing_is_sent_for_a_finished_request() -> None:
     play = Play()
     sent = sends(play.ask())[0]
     assert play.at(0.1, ClientDisconnected("r1")) == []
@@ -110,15 +115,15 @@
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
-def test_a_leaving_backend_gets_nothing_from_the_same_moment_on(readiness: Readiness) -> None:
+def test_a_draining_or_removed_endpoint_gets_no_more_requests(readiness: Readiness) -> None:
     play = Play()
-    leaving = tuple(replace(b, readiness=readiness) for b in FLEET[:3])
+    leaving = tuple(replace(entry, readiness=readiness) for entry in FLEET[:3])
     play.at(0.0, EndpointsChanged(EndpointListKind.UPDATE, leaving))
     targets = {s.endpoint_id for _ in range(12) for s in sends(play.ask(0.5))}
     assert targets == {"b3"}
 
 
-def test_a_backend_missing_from_a_full_list_is_gone_and_one_back_is_used() -> None:
+def test_an_endpoint_missing_from_a_complete_list_is_removed_and_a_returning_one_is_used() -> None:
     play = Play()
     play.at(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[:1]))
     assert {s.endpoint_id for _ in range(6) for s in sends(play.ask(0.5))} == {"b0"}
@@ -126,60 +131,61 @@
     assert {s.endpoint_id for s in sends(play.ask(0.5))} == {"b1"}
 
 
-def test_an_empty_list_refuses_at_once() -> None:
+def test_requests_are_rejected_immediately_if_the_endpoint_list_is_empty() -> None:
     play = Play(fleet=())
     assert isinstance(play.ask()[-1], RejectRequest)
 
 
-def cold_sends(play: Play, seconds: float, every: float) -> list[float]:
+def times_sent_to_cold_endpoint(play: Play, seconds: float, interval: float) -> list[float]:
     times = []
     while seconds > 0:
-        for sent in sends(play.ask(every, customer=f"c{play.count % 200}")):
+        for sent in sends(play.ask(interval, customer=f"c{play.count % 200}")):
             if sent.endpoint_id == "cold":
                 times.append(play.now)
             play.end(sent, Outcome.OK, 0.001)
-        seconds -= every
+        seconds -= interval
     return times
 
 
-def test_a_cold_backend_gets_a_part_of_what_a_warm_one_carries() -> None:
+def test_a_cold_endpoint_gets_a_share_of_the_load_of_a_warm_one() -> None:
     play = Play()
-    cold_sends(play, 30.0, 0.05)
+    times_sent_to_cold_endpoint(play, 30.0, 0.05)
     warm_rate = 20.0 / len(FLEET)
     play.at(0.0, EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("cold", "a", started_at=play.now),)))
-    first = cold_sends(play, SETTINGS.overload_window * 2, 0.05)
-    # This gateway may bring cold_share x fall_factor of what a warm backend carries from here.
-    bears = (
+    times = times_sent_to_cold_endpoint(play, SETTINGS.overload_window * 2, 0.05)
+    # Relative to a warm endpoint, this gateway may send the initial capacity times the overload factor; within two
+    # overload windows the capacity grows by up to 0.16.
+    max_requests = (
         warm_rate
         * (SETTINGS.slow_start_initial_capacity + 0.16)
         * SETTINGS.overload_factor
         * SETTINGS.overload_window
         * 2
     )
-    assert 0 < len(first) <= bears + 1
+    assert 0 < len(times) <= max_requests + 1
 
 
-def test_a_fresh_gateway_with_all_backends_cold_sends_little_but_something() -> None:
+def test_a_new_gateway_with_only_cold_endpoints_sends_few_requests_but_some() -> None:
     play = Play(fleet=(Endpoint("cold", "a", started_at=100.0),))
-    times = cold_sends(play, 6.0, 0.02)
+    times = times_sent_to_cold_endpoint(play, 6.0, 0.02)
     assert 1 <= len(times) <= 6 * SETTINGS.overload_factor * SETTINGS.slow_start_initial_capacity
 
 
 CAPPED = Plan("basic", rate=2.0, burst=4.0, ceiling_rate=4.0, ceiling_burst=8.0, ceiling_slack=1.0)
 
 
-def test_the_ceiling_slice_is_empty_in_a_fresh_process_and_never_passed() -> None:
+def test_the_ceiling_slice_is_empty_in_a_new_process_and_is_never_exceeded() -> None:
     play = Play(replace(SETTINGS, plans=(CAPPED,)))
     passed = 0
     for _ in range(200):
-        done = sends(play.ask(0.02))
-        passed += len(done)
-        for sent in done:
+        attempts = sends(play.ask(0.02))
+        passed += len(attempts)
+        for sent in attempts:
             play.end(sent, Outcome.OK, 0.001)
     assert passed <= CAPPED.ceiling_rate / 2 * (play.now - 100.0)
 
 
-def test_other_gateways_or_a_long_pause_do_not_fill_a_ceiling_anew() -> None:
+def test_another_gateway_count_or_a_long_pause_does_not_refill_a_ceiling() -> None:
     slow = replace(CAPPED, rate=100.0, burst=100.0, ceiling_rate=0.02, ceiling_burst=8.0)
     play = Play(replace(SETTINGS, plans=(slow,)))
     play.now += 10000.0
@@ -187,14 +193,14 @@
     for n in range(300):
         if n % 20 == 0:
             play.at(65.0 if n == 100 else 0.0, TimerFired(0))
-        done = sends(play.ask(0.0, gateway_count=2 + n % 2))
-        passed += len(done)
-        for sent in done:
+        attempts = sends(play.ask(0.0, gateway_count=2 + n % 2))
+        passed += len(attempts)
+        for sent in attempts:
             play.end(sent, Outcome.OK, 0.001)
     assert passed <= 8.0 / 2 + 0.02 * 100
 
 
-def test_failed_calls_to_the_list_do_not_multiply() -> None:
+def test_failed_discovery_calls_do_not_multiply_subscriptions() -> None:
     play = Play(replace(SETTINGS, polls_discovery=True, discovery_poll_deadline=10.0))
     assert sum(isinstance(a, WatchEndpoints) for a in play.actions) == 1
     for _ in range(10):
@@ -202,10 +208,10 @@
     assert sum(isinstance(a, SetTimer) and a.token == 1 for a in play.actions) == 1
     play.at(3.0, TimerFired(1))
     assert sum(isinstance(a, WatchEndpoints) for a in play.actions) == 2
-    assert sends(play.ask())  # the old list still applies
+    assert sends(play.ask())  # the previous list still applies
 
 
-def test_a_cold_budget_counts_work() -> None:
+def test_the_slow_start_budget_counts_work() -> None:
     play = Play()
     latencies = play.gateway.cluster.latencies
     latencies.mean_latencies = {"read": 0.1, "order": 0.1, "pay": 0.4}
@@ -214,16 +220,17 @@
     assert latencies.relative_work(request.request_class, request.units) == pytest.approx(2.0)
 
 
-def test_hundreds_of_gateways_together_do_not_push_a_cold_backend_over_and_yet_use_it() -> None:
+def test_hundreds_of_gateways_together_use_a_cold_endpoint_without_overloading_it() -> None:
     many = replace(SETTINGS, gateway_count=200, slow_start_duration=10.0, plans=(replace(BASIC, rate=1e4, burst=1e5),))
     fleet = tuple(Endpoint(f"b{n}") for n in range(20))
     times: list[float] = []
-    every = 0.5  # s between two requests of a gateway: 400 a second, 20 at each warm backend
+    interval = 0.5  # seconds between requests of one gateway: in all 400 per second, 20 at each warm endpoint
     for number in range(200):
-        gateway, now = Gateway(replace(many, gateway_index=number), number), 100.0 + number / 200 * every
+        gateway = Gateway(replace(many, gateway_index=number), number)
+        now = 100.0 + number / 200 * interval
         gateway.handle(now, EndpointsChanged(EndpointListKind.RESTORED, fleet))
         for n in range(70):
-            now += every
+            now += interval
             if n == 50:
                 gateway.handle(now, EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("cold", started_at=now),)))
             for sent in sends(gateway.handle(now, RequestReceived(f"r{n}", "read", "basic", "c", 4.0))):
@@ -231,24 +238,27 @@
                 gateway.handle(now + 0.1, AttemptEnded(sent.request_id, 0, sent.endpoint_id, Outcome.OK, 0.1, True))
     start = min(times)
     for n in range(8):
-        got = sum(start + n <= t < start + n + 1 for t in times)
+        received = sum(start + n <= time < start + n + 1 for time in times)
         share = SETTINGS.slow_start_initial_capacity + (1 - SETTINGS.slow_start_initial_capacity) * n / 10
-        assert 0 < got < 20 * SETTINGS.overload_factor * share * SETTINGS.overload_window * 1.1
+        assert 0 < received < 20 * SETTINGS.overload_factor * share * SETTINGS.overload_window * 1.1
 
 
 @pytest.mark.parametrize("servers", [8, 12, 14, 60])
-def test_a_cold_server_gets_what_it_bears_from_those_that_prefer_it_and_no_more(servers: int) -> None:
-    """Where each gateway prefers a few, parts divided among all were hardly used: a zone stayed idle."""
-    count, carried = 100, 5.0  # gateways, and answers a second at each
+def test_a_cold_endpoint_gets_its_capacity_from_the_gateways_that_prefer_it_and_no_more(servers: int) -> None:
+    """Guards against budgets divided among all gateways: where each prefers few endpoints, a zone stayed idle."""
+    gateway_count = 100
+    work_rate = 5.0  # answers per second at each gateway
     fleet = [Endpoint(f"b{n}") for n in range(servers)]
-    bears = SETTINGS.overload_factor * SETTINGS.slow_start_initial_capacity * count * carried / servers
+    capacity = SETTINGS.overload_factor * SETTINGS.slow_start_initial_capacity * gateway_count * work_rate / servers
     for cold in fleet[:3]:
-        given, beside = 0.0, 0.0
-        for number in range(count):
-            gateway = Gateway(replace(SETTINGS, gateway_count=count, gateway_index=number), number)
-            listed = tuple(replace(b, started_at=100.0) if b is cold else b for b in fleet)
+        preferred_rate = 0.0
+        other_rate = 0.0
+        for number in range(gateway_count):
+            gateway = Gateway(replace(SETTINGS, gateway_count=gateway_count, gateway_index=number), number)
+            listed = tuple(replace(entry, started_at=100.0) if entry is cold else entry for entry in fleet)
             gateway.handle(100.0, EndpointsChanged(EndpointListKind.RESTORED, listed))
-            gateway.cluster.slow_start.work_rate, gateway.cluster.slow_start.work_rate_at = carried, 100.0
+            gateway.cluster.slow_start.work_rate = work_rate
+            gateway.cluster.slow_start.work_rate_at = 100.0
             play = Play(SETTINGS)
             play.ask()
             server = gateway.cluster.endpoints.by_id[cold.id]
@@ -256,18 +266,17 @@
             work = gateway.cluster.latencies.relative_work(request.request_class, request.units)
             gateway.cluster.slow_start.allows(server, 100.0, work)
             if server.preferred:
-                given += server.slow_start_budget.rate
+                preferred_rate += server.slow_start_budget.rate
             else:
-                beside += server.slow_start_budget.rate
-        assert 0.3 * bears < given <= bears
-        assert beside <= 0.5 / SETTINGS.overload_window  # all others together, should every preferred one fail
+                other_rate += server.slow_start_budget.rate
+        assert 0.3 * capacity < preferred_rate <= capacity
+        assert other_rate <= 0.5 / SETTINGS.overload_window  # the others together, if their preferred endpoints fail
 
 
-def test_the_time_that_a_request_waited_unseen_is_not_its_servers() -> None:
+def test_the_time_that_a_request_waited_before_it_was_read_shortens_the_attempt() -> None:
     play = Play()
     [send] = sends(play.ask(time_waited=1.5))
-    assert send.timeout == 2.5  # of 4
-    assert [
-        a for a in finals(play.ask(time_waited=4.0)) if isinstance(a, RejectRequest)
-    ]  # its client has gone: nothing is sent
+    assert send.timeout == 2.5  # of 4 s
+    # The client is no longer waiting, so nothing is sent.
+    assert [action for action in finals(play.ask(time_waited=4.0)) if isinstance(action, RejectRequest)]
     assert not sends(play.ask(time_waited=5.0))
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""An answer that has begun, with no sockets."""
+"""Streamed responses and uploads in the decisions, without sockets."""
 
 from __future__ import annotations
 
@@ -12,20 +12,21 @@
 from tests.conftest import SETTINGS, Play, finals, sends
 
 
-def test_a_long_answer_does_not_count_against_its_server() -> None:
+def test_a_long_response_does_not_count_against_its_endpoint() -> None:
     play = Play()
     [send] = sends(play.ask())
     server = play.gateway.cluster.endpoints.by_id[send.endpoint_id]
     play.at(0.05, ResponseStarted(send.request_id, 0, send.endpoint_id, 0.05))
-    wait, done = server.latency_ratio, play.gateway.cluster.slow_start.work_rate
+    latency_ratio = server.latency_ratio
+    work_rate = play.gateway.cluster.slow_start.work_rate
     play.now += 60.0
     assert not server.unresponsive(play.now, 0.05) and server.oldest_attempt_age(play.now) == 0.0
     play.end(send, after=1.0)
-    assert (server.latency_ratio, play.gateway.cluster.slow_start.work_rate) == (wait, done)
+    assert (server.latency_ratio, play.gateway.cluster.slow_start.work_rate) == (latency_ratio, work_rate)
     assert not play.gateway.requests and not play.gateway.forwarder.attempts
 
 
-def test_the_other_attempt_is_ended_when_an_answer_begins() -> None:
+def test_the_other_attempt_is_cancelled_when_a_response_starts() -> None:
     play = Play(replace(SETTINGS, hedging_allowed=True, cancellation_allowed=True))
     play.gateway.forwarder.retries.level = 5.0
     play.gateway.forwarder.hedging.win_rate = 1.0
@@ -39,26 +40,26 @@
     assert not play.gateway.requests
 
 
-def test_a_request_whose_pieces_are_gone_gets_no_other_attempt() -> None:
+def test_a_request_whose_chunks_have_been_sent_gets_no_other_attempt() -> None:
     play = Play(replace(SETTINGS, hedging_allowed=True))
     play.gateway.forwarder.retries.level = 5.0
     play.gateway.forwarder.hedging.win_rate = 1.0
     [send] = sends(play.ask(is_chunked=True))
-    assert not sends(play.at(HEDGE_DELAY_RATIO, TimerFired(TimerToken.HEDGE)))  # a copy would want the same pieces
-    [again] = sends(play.end(send, Outcome.CONNECT_FAILED))  # none is gone yet
+    assert not sends(play.at(HEDGE_DELAY_RATIO, TimerFired(TimerToken.HEDGE)))  # a hedge would need the same chunks
+    [again] = sends(play.end(send, Outcome.CONNECT_FAILED))  # no chunk has been sent yet
     play.at(0.0, UploadStarted(again.request_id))
     done = play.end(again, Outcome.CONNECT_FAILED, attempt=1)
     assert not sends(done) and finals(done) == [RejectRequest(again.request_id, 0.5, "attempt")]
 
 
-def test_the_time_of_a_long_request_runs_from_its_last_byte() -> None:
+def test_the_deadline_of_a_long_request_counts_from_its_last_byte() -> None:
     play = Play()
     [send] = sends(play.ask(is_chunked=True, time_left=2.0))
     play.at(5.0, UploadFinished(send.request_id, 2.0))
     assert play.gateway.requests[send.request_id].deadline == play.now + 2.0
 
 
-def test_a_request_without_room_is_refused() -> None:
+def test_a_request_without_available_memory_is_rejected() -> None:
     play = Play()
     assert play.ask(memory_available=False)[-1] == RejectRequest("r1", 0.5, "memory")
     assert not play.gateway.requests
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -1,4 +1,4 @@
-"""What an upgrade means for the decisions, with no sockets: two processes spend from the same buckets."""
+"""The decisions during an upgrade, without sockets: two processes spend from the same buckets."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.conftest import BASIC, FLEET, SETTINGS, Play, sends
 
 
-def told(actions: list[Action]) -> list[QuotaUsage]:
-    return [a.usage for a in actions if isinstance(a, ShareUsage)]
+def shared_usage(actions: list[Action]) -> list[QuotaUsage]:
+    return [action.usage for action in actions if isinstance(action, ShareUsage)]
 
 
 def successor_of(old: Play, play: Play | None = None) -> Play:
@@ -26,18 +26,18 @@
     return play
 
 
-def test_an_heir_has_no_second_burst() -> None:
+def test_a_successor_grants_no_second_burst() -> None:
     old = Play()
-    for _ in range(5):  # the slice of 8 over 2, and one
+    for _ in range(5):  # the slice: burst 8 divided by 2 gateways, plus one request
         [send] = sends(old.ask(units=1.0))
         old.end(send, after=0.0)
     new = successor_of(old)
     assert not sends(new.ask(0.0))
-    assert sends(new.ask(1.0))  # 2 over 2 a second
+    assert sends(new.ask(1.0))  # refills 1 unit per second: rate 2 divided by 2 gateways
     assert sends(successor_of(old).ask(0.0, customer="another"))
 
 
-def test_an_heir_holds_the_ceiling_as_it_stands() -> None:
+def test_a_successor_inherits_the_levels_of_the_ceilings() -> None:
     plan = replace(BASIC, ceiling_rate=1.0, ceiling_burst=8.0)
     old = Play(replace(SETTINGS, plans=(plan,)))
     old.now += 1000.0  # long enough for every ceiling to be full
@@ -45,53 +45,54 @@
     old.end(send, after=0.0)
     new = successor_of(old)
     assert new.gateway.customers["c"].ceiling.level == 3.0
-    assert sends(new.ask(0.0, customer="unseen"))  # full there too: it was dropped or never seen
+    assert sends(new.ask(0.0, customer="unseen"))  # its ceiling is full: the customer was dropped or never seen
 
 
-def test_each_tells_what_it_spends_and_the_other_takes_it() -> None:
-    one, other = Play(), Play()
+def test_each_process_reports_its_usage_and_the_other_applies_it() -> None:
+    one = Play()
+    other = Play()
     one.at(0.0, ProcessGroupChanged(1))
     actions = one.ask()
     [send] = sends(actions)
-    [spent] = told(actions)
-    assert (spent.customer, spent.units, spent.within_quota, spent.attempts_delta) == ("c", 1.0, True, 1)
+    [usage] = shared_usage(actions)
+    assert (usage.customer, usage.units, usage.within_quota, usage.attempts_delta) == ("c", 1.0, True, 1)
     other.at(0.0, ProcessGroupChanged(1))
-    other.at(0.0, spent)
+    other.at(0.0, usage)
     customer = other.gateway.customers["c"]
     assert customer.slice.level == 4.0 and customer.concurrency.in_flight_elsewhere == 1
-    [ended] = told(one.end(send))
+    [ended] = shared_usage(one.end(send))
     other.at(0.0, ended)
     assert customer.slice.level == 4.0 and customer.concurrency.in_flight_elsewhere == 0
 
 
-def test_alone_a_process_tells_nothing() -> None:
-    assert not told(Play().ask())
+def test_a_single_process_reports_no_usage() -> None:
+    assert not shared_usage(Play().ask())
 
 
-def test_a_cap_on_attempts_out_holds_over_both() -> None:
+def test_a_concurrency_limit_applies_to_both_processes_together() -> None:
     plan = Plan("basic", rate=100.0, burst=100.0, concurrency_limit=2, over_quota_cost=0.5)
-    play = Play(replace(SETTINGS, plans=(plan,)))  # one for each gateway
+    play = Play(replace(SETTINGS, plans=(plan,)))  # one attempt for each gateway
     play.at(0.0, ProcessGroupChanged(1))
     play.at(0.0, QuotaUsage("c", "basic", 2, 1.0, True, 1))
     assert not sends(play.ask())
-    play.at(0.0, ProcessGroupChanged(0))  # the other is gone, and with it what it had out
+    play.at(0.0, ProcessGroupChanged(0))  # the other process has ended, and its attempts with it
     assert sends(play.ask())
 
 
-def test_a_cold_budget_holds_over_both() -> None:
+def test_a_slow_start_budget_applies_to_both_processes_together() -> None:
     fleet = (Endpoint("cold", started_at=99.0),)
-    play, other = Play(fleet=fleet), Play(fleet=fleet)
-    other.gateway.cluster.endpoints.by_id["cold"].slow_start_budget.level = play.gateway.cluster.endpoints.by_id[
-        "cold"
-    ].slow_start_budget.level = 1.0
+    play = Play(fleet=fleet)
+    other = Play(fleet=fleet)
+    play.gateway.cluster.endpoints.by_id["cold"].slow_start_budget.level = 1.0
+    other.gateway.cluster.endpoints.by_id["cold"].slow_start_budget.level = 1.0
     play.at(0.0, ProcessGroupChanged(1))
-    [spent] = told(play.ask())
-    assert spent.endpoint_id == "cold" and spent.slow_start_work > 0
-    other.at(0.0, spent)
+    [usage] = shared_usage(play.ask())
+    assert usage.endpoint_id == "cold" and usage.slow_start_work > 0
+    other.at(0.0, usage)
     assert not sends(other.ask())
 
 
-def test_an_heir_knows_how_the_servers_fare() -> None:
+def test_a_successor_inherits_the_health_of_the_endpoints() -> None:
     old = Play()
     [send] = sends(old.ask())
     old.end(send, Outcome.CONNECT_FAILED)
@@ -100,24 +101,22 @@
         old.gateway.cluster.outliers.record_failure(ejected.health, old.now, Outcome.ERROR)
     assert ejected.health.status is HealthStatus.EJECTED
     new = successor_of(old)
-    servers = new.gateway.cluster.endpoints.by_id
-    assert servers[send.endpoint_id].avoided(new.now) and servers[ejected.info.id].avoided(new.now)
-    assert servers[ejected.info.id].health.snapshot() == ejected.health.snapshot()
-    assert (
-        new.gateway.cluster.load_balancer.avoided_count(new.now) == 2
-        and new.gateway.cluster.outliers.ejected_count == 1
-    )
+    endpoints = new.gateway.cluster.endpoints.by_id
+    assert endpoints[send.endpoint_id].avoided(new.now) and endpoints[ejected.info.id].avoided(new.now)
+    assert endpoints[ejected.info.id].health.snapshot() == ejected.health.snapshot()
+    assert new.gateway.cluster.load_balancer.avoided_count(new.now) == 2
+    assert new.gateway.cluster.outliers.ejected_count == 1
 
 
-def test_an_heir_of_a_process_that_kept_health_otherwise_begins_anew() -> None:
+def test_a_successor_of_a_process_with_another_format_of_health_starts_without_health_data() -> None:
     old = Play()
     state = old.gateway.handover_state(old.now)
     new = Play()
-    new.at(0.0, replace(state, endpoints=tuple(replace(b, health=None) for b in state.endpoints)))
+    new.at(0.0, replace(state, endpoints=tuple(replace(endpoint, health=None) for endpoint in state.endpoints)))
     assert new.gateway.cluster.load_balancer.avoided_count(new.now) == 0
 
 
-def test_an_heir_does_not_apply_evidence_to_a_server_that_started_since() -> None:
+def test_a_successor_does_not_apply_health_data_to_an_endpoint_that_has_restarted_since() -> None:
     old = Play()
     for server in old.gateway.cluster.endpoints.by_id.values():
         server.health.paused_until = old.now + 9.0
@@ -127,18 +126,18 @@
     assert new.gateway.cluster.endpoints.by_id["b1"].avoided(new.now)
 
 
-def test_with_a_successor_the_end_needs_no_front_to_turn_away() -> None:
+def test_with_a_successor_the_load_balancer_need_not_be_notified_before_the_process_exits() -> None:
     play = Play()
     play.at(0.0, ProcessGroupChanged(1, has_successor=True))
     assert play.at(0.0, DrainRequested(process_exits=True)) == [CloseIdleClients(True)]
 
 
-def test_a_drain_by_call_is_inherited_and_an_end_is_not() -> None:
+def test_a_drain_by_an_operator_is_inherited_and_one_before_an_exit_is_not() -> None:
     old = Play()
     old.at(0.0, DrainRequested())
     new = successor_of(old)
     assert SetReadiness(False) in new.actions
     assert new.at(READINESS_PROPAGATION_DELAY_S, TimerFired(TimerToken.DRAINED)) == [CloseIdleClients(True)]
-    ending = Play()
-    ending.at(0.0, DrainRequested(process_exits=True))
-    assert SetReadiness(False) not in successor_of(ending).actions
+    exiting = Play()
+    exiting.at(0.0, DrainRequested(process_exits=True))
+    assert SetReadiness(False) not in successor_of(exiting).actions
