--- a/ingress/decisions/attempt_outcomes.py
+++ b/ingress/decisions/attempt_outcomes.py
@@ -45,7 +45,7 @@
 
         A timeout also counts as a slow response, and a rejection as overload.  Where there was no response, the failure
         is held against the endpoint only if it had time to respond: a client that waits for a moment only, or that
-        disconnects, says nothing about the endpoint.
+        disconnects, gives no information about the endpoint.
 
         Args:
             now: The current time in seconds.
--- a/ingress/decisions/events.py
+++ b/ingress/decisions/events.py
@@ -99,8 +99,8 @@
         quota_usage: The customer's metered usage as 1 plus the percentage of its rate; 0 if unknown.
         settled_units: The actual units of the request; 0 if unknown.
         load_report: The load figures that the endpoint reports.
-        local_failure: Whether it failed in this process, for example for lack of a file descriptor, which says nothing
-            about the endpoint.
+        local_failure: Whether it failed in this process, for example for lack of a file descriptor, which gives no
+            information about the endpoint.
     """
 
     request_id: str
--- a/ingress/decisions/forwarding.py
+++ b/ingress/decisions/forwarding.py
@@ -189,7 +189,7 @@
         """Send the hedges that are due."""
         self._cluster.outliers.record_timer_delay(now, now - self.hedging.timer_due_at)
         max_saturation = self.hedging.max_saturation()
-        for request in self.hedging.due(now, self._settings.timer_resolution):
+        for request in self.hedging.pop_due(now, self._settings.timer_resolution):
             self._send_again(now, request, max_saturation)
         if (timer := self.hedging.next_timer(now)) is not None:
             self.actions.append(timer)
--- a/ingress/decisions/gateway.py
+++ b/ingress/decisions/gateway.py
@@ -36,8 +36,8 @@
 from ingress.decisions.timers import TimerToken
 
 CLEANUP_INTERVAL_S = 60.0
-# After a failure, discovery is asked again after a random share of the deadline for asking again.  The upper bound
-# leaves time for more attempts before that deadline, in case the next ones fail too.
+# After a failed call, the endpoint list is subscribed to again after a random share of `discovery_poll_deadline`.  The
+# upper bound leaves time for further attempts before that deadline, in case the next ones fail too.
 DISCOVERY_RETRY_MIN_RATIO = 0.1
 DISCOVERY_RETRY_MAX_RATIO = 0.25
 
@@ -136,7 +136,7 @@
                 self._dispatch_control_event(now, event)
 
     def _dispatch_control_event(self, now: float, event: Event) -> None:
-        """Dispatch an event that changes the gateway itself, its endpoints or its process group."""
+        """Dispatch an event that changes the gateway itself, its endpoints or its process group; ignore others."""
         match event:
             case EndpointsChanged():
                 self._endpoints_changed(now, event)
--- a/ingress/decisions/hedging.py
+++ b/ingress/decisions/hedging.py
@@ -60,7 +60,7 @@
         self.timer_due_at = now + delay
         return SetTimer(delay, TimerToken.HEDGE)
 
-    def due(self, now: float, timer_resolution: float) -> Iterator[InFlightRequest]:
+    def pop_due(self, now: float, timer_resolution: float) -> Iterator[InFlightRequest]:
         """Remove the first candidates that are due or have no attempt in flight; yield those that may be hedged.
 
         A request without a deadline is streaming its response, which no other attempt can replace.
