--- a/ingress/decisions/admission.py
+++ b/ingress/decisions/admission.py
@@ -130,7 +130,10 @@
         return plan.over_quota_value > plan.over_quota_cost and saturation < OVER_QUOTA_MAX_SATURATION
 
     def _overage_allowed(self, now: float, request: InFlightRequest) -> bool:
-        """Return whether the overage budget allows the request; a request that is shed must not add to that budget."""
+        """Return whether the overage budget allows the request.
+
+        This is the last check, because a request that is shed is not served and so must not add to the budget.
+        """
         value = request.request_class.priority_weight * request.plan.weight_factor * request.units
         unearned_ratio = request.customer.unearned_ratio(request.units)
         return self.overage_budget.allow(value, unearned_ratio, request.plan, self._customers.gateway_age(now))
--- a/ingress/decisions/process_state.py
+++ b/ingress/decisions/process_state.py
@@ -41,9 +41,8 @@
         self._customers.record_usage(now, usage)
         endpoint = self._cluster.endpoints.by_id.get(usage.endpoint_id) if usage.slow_start_work else None
         if endpoint is not None:
-            endpoint.slow_start_budget.refill(
-                now
-            )  # first: otherwise the overflow of a full bucket would offset the work
+            # Refilling comes first: otherwise units that overflow a full bucket would offset the work.
+            endpoint.slow_start_budget.refill(now)
             endpoint.slow_start_budget.take(usage.slow_start_work)
 
     def snapshot(self, now: float, include_customers: bool) -> HandoverState:
--- a/ingress/decisions/quota.py
+++ b/ingress/decisions/quota.py
@@ -139,7 +139,7 @@
         return slice_full and self.concurrency.budget_full() and self.ceiling.fits(now, self.ceiling.capacity)
 
     def is_idle(self, now: float) -> bool:
-        """Return whether the customer can be dropped without changing any decision."""
+        """Return whether the customer is idle and unrestricted, so that it can be dropped."""
         concurrency = self.concurrency
         unseen = now - self.last_seen_at > CUSTOMER_IDLE_TIMEOUT_S
         in_flight = concurrency.in_flight or concurrency.in_flight_elsewhere
--- a/tests/test_overage.py
+++ b/tests/test_overage.py
@@ -30,11 +30,11 @@
     return play
 
 
-def first_requests(play: Play, customers: int, spread: int, plan: str = "basic") -> int:
+def first_requests(play: Play, customers: int, gateway_count: int, plan: str = "basic") -> int:
     """Return how many of `customers`, each seen for the first time, have their request forwarded."""
     passed = 0
     for number in range(customers):
-        for sent in sends(play.ask(0.0, customer=f"customer-{number}", gateway_count=spread, plan=plan)):
+        for sent in sends(play.ask(0.0, customer=f"customer-{number}", gateway_count=gateway_count, plan=plan)):
             passed += 1
             play.end(sent, Outcome.OK, 0.0)
     return passed
@@ -69,17 +69,17 @@
     """Guards against each of 200 gateways forwarding the requests of all customers: that happens without the budget."""
     # In the steady state the budget receives as much as it spends.
     granted_ratio = sqrt(MAX_OVERAGE_COST_RATIO / (COSTLY.over_quota_cost * OVER_QUOTA_RATIO))
-    passed = first_requests(aged(SHARED), customers=400, spread=200)
+    passed = first_requests(aged(SHARED), customers=400, gateway_count=200)
     assert passed == pytest.approx(400 * granted_ratio, rel=0.1)
 
 
 def test_while_customers_still_have_their_bursts_overage_costs_nothing() -> None:
-    assert first_requests(Play(SHARED), customers=100, spread=200) == 100
+    assert first_requests(Play(SHARED), customers=100, gateway_count=200) == 100
 
 
 def test_plans_without_an_over_quota_cost_are_not_limited() -> None:
     free = replace(COSTLY, over_quota_cost=0.0)
-    assert first_requests(Play(replace(SHARED, plans=(free,))), customers=100, spread=200) == 100
+    assert first_requests(Play(replace(SHARED, plans=(free,))), customers=100, gateway_count=200) == 100
 
 
 def test_a_plan_with_a_low_over_quota_cost_is_granted_where_a_costlier_one_is_rejected() -> None:
@@ -97,7 +97,7 @@
 
 def test_rejected_overage_is_answered_immediately_with_the_time_until_its_refill() -> None:
     play = aged(SHARED)
-    first_requests(play, customers=50, spread=200)
+    first_requests(play, customers=50, gateway_count=200)
     rejected = [
         action for action in play.ask(0.0, customer="new", gateway_count=200) if isinstance(action, RejectRequest)
     ]
@@ -114,7 +114,7 @@
 
 def test_changes_of_the_settings_grant_no_new_budget() -> None:
     play = aged(SHARED)
-    first_requests(play, customers=200, spread=200)
+    first_requests(play, customers=200, gateway_count=200)
     before = play.gateway.admission.overage_budget.level, play.gateway.admission.overage_budget.grant_rate
     for _ in range(20):
         play.at(0.0, SettingsChanged(SHARED))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -54,14 +54,14 @@
     assert len(sends(play.ask(gateway_count=100))) == 1
 
 
-@pytest.mark.parametrize(("spread", "rate"), [(1, 2.0), (2, 1.0), (4, 0.5), (16, 0.125), (200, 0.01)])
-def test_a_slice_refills_at_an_even_share_of_the_rate_for_any_gateway_count(spread: int, rate: float) -> None:
+@pytest.mark.parametrize(("gateway_count", "rate"), [(1, 2.0), (2, 1.0), (4, 0.5), (16, 0.125), (200, 0.01)])
+def test_a_slice_refills_at_an_even_share_of_the_rate_for_any_gateway_count(gateway_count: int, rate: float) -> None:
     play = Play()
     play.ask(gateway_count=4)
-    play.ask(gateway_count=spread)
+    play.ask(gateway_count=gateway_count)
     customer = play.gateway.customers["c"]
     assert customer.slice.rate == pytest.approx(rate)
-    assert customer.slice.capacity == pytest.approx(min(8.0, max(8.0 / spread + 1.0, 2.0)))
+    assert customer.slice.capacity == pytest.approx(min(8.0, max(8.0 / gateway_count + 1.0, 2.0)))
 
 
 @pytest.mark.parametrize(("over_cost", "capacity"), [(0.5, 2), (1.0, 1), (1.2, 1)])
