--- a/ingress/decisions/forwarding.py
+++ b/ingress/decisions/forwarding.py
@@ -29,7 +29,7 @@
         actions: The actions of the event being handled; `Gateway.handle` starts a new list for each event.
         requests: The requests that have no final answer yet, by request id.
         attempts: The requests of all attempts in flight, including requests that already have their final answer.
-        retries: The budget that limits retries and hedges.
+        retry_budget: The budget that limits retries and hedges.
         hedging: The schedule of hedges.
     """
 
@@ -39,7 +39,7 @@
         self.actions: list[Action] = []
         self.requests: dict[str, InFlightRequest] = {}
         self.attempts: dict[AttemptId, InFlightRequest] = {}
-        self.retries = RetryBudget(cluster)
+        self.retry_budget = RetryBudget(cluster)
         self.hedging = Hedging()
         self._settings = settings
         self._cluster = cluster
@@ -76,7 +76,7 @@
     def _record_first_attempt(self, now: float, request: InFlightRequest) -> None:
         """Spend the customer's units, add to the retry budget, and schedule a hedge."""
         request.attempted = True
-        self.retries.deposit()
+        self.retry_budget.deposit()
         if request.plan.ceiling_rate:
             request.customer.ceiling.take(request.units)
         if request.within_quota:
@@ -180,9 +180,9 @@
 
     def _send_again(self, now: float, request: InFlightRequest, max_saturation: float) -> bool:
         """Send a retry or hedge; return whether it was sent."""
-        sent = self.retries.allows(now, request, max_saturation) and self.send(now, request)
+        sent = self.retry_budget.allows(now, request, max_saturation) and self.send(now, request)
         if sent:
-            self.retries.withdraw()
+            self.retry_budget.withdraw()
         return sent
 
     def hedge_timer_fired(self, now: float) -> None:
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -156,10 +156,10 @@
 
 def test_an_attempt_that_is_not_answered_gets_a_second_beside_it() -> None:
     play = Play(COPYING)
-    play.gateway.forwarder.retries.level = 5.0
+    play.gateway.forwarder.retry_budget.level = 5.0
     again = silent(play)
     done = play.end(again, attempt=1)
-    assert done == [CancelAttempt(again.request_id, 0)] and play.gateway.forwarder.retries.level < 5.0
+    assert done == [CancelAttempt(again.request_id, 0)] and play.gateway.forwarder.retry_budget.level < 5.0
 
 
 def test_no_second_attempt_is_made_for_what_is_answered_or_where_two_are_not_allowed() -> None:
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize(("odds", "count"), [(0.0, 0), (1.0, 1)])
 def test_second_attempts_that_do_not_win_need_ample_room(odds: float, count: int) -> None:
     play = Play(COPYING)
-    play.gateway.forwarder.retries.level, play.gateway.forwarder.hedging.win_rate = 5.0, odds
+    play.gateway.forwarder.retry_budget.level, play.gateway.forwarder.hedging.win_rate = 5.0, odds
     play.gateway.cluster.load_shedder.saturation = lambda now: HEDGE_MAX_SATURATION / 2  # type: ignore[method-assign]
     assert sends(play.ask())
     assert len(sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))) == count
@@ -185,7 +185,7 @@
 
 def test_which_attempt_answers_first_is_learned() -> None:
     play = Play(COPYING)
-    play.gateway.forwarder.retries.level = 5.0
+    play.gateway.forwarder.retry_budget.level = 5.0
     first = sends(play.ask())[0]
     again = sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))[0]
     play.end(again, attempt=1)
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -202,7 +202,7 @@
             with socket.create_connection(stall_server.sockets[0].getsockname()) as trigger:
                 for name, stays in ((b"stays", True), (b"gone", False)):
                     served.gateway.forwarder.hedging.win_rate = 1.0
-                    served.gateway.forwarder.retries.level = 10.0
+                    served.gateway.forwarder.retry_budget.level = 10.0
                     client = socket.create_connection(address)
                     Stall.until = time.monotonic() + 1.2
                     Stall.closes = [] if stays else [client]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -141,7 +141,7 @@
         play, Plan("other", rate=1.0, burst=1.0), classes=(RequestClass("other", latency_objective=0.1, deadline=0.2),)
     )
     assert (request.request_class, request.plan, request.deadline) == (SAFE, BASIC, 104.0)
-    play.gateway.forwarder.retries.level = 5.0
+    play.gateway.forwarder.retry_budget.level = 5.0
     [again] = sends(play.end(first, Outcome.CONNECT_FAILED, after=0.5))  # more than the new deadline allows
     assert again.request_id == first.request_id
     assert play.end(again, attempt=1) == [] and not play.gateway.requests
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -28,7 +28,7 @@
 
 def test_the_other_attempt_is_cancelled_when_a_response_starts() -> None:
     play = Play(replace(SETTINGS, hedging_allowed=True, cancellation_allowed=True))
-    play.gateway.forwarder.retries.level = 5.0
+    play.gateway.forwarder.retry_budget.level = 5.0
     play.gateway.forwarder.hedging.win_rate = 1.0
     [first] = sends(play.ask())
     [second] = sends(play.at(HEDGE_DELAY_RATIO, TimerFired(TimerToken.HEDGE)))
@@ -42,7 +42,7 @@
 
 def test_a_request_whose_chunks_have_been_sent_gets_no_other_attempt() -> None:
     play = Play(replace(SETTINGS, hedging_allowed=True))
-    play.gateway.forwarder.retries.level = 5.0
+    play.gateway.forwarder.retry_budget.level = 5.0
     play.gateway.forwarder.hedging.win_rate = 1.0
     [send] = sends(play.ask(is_chunked=True))
     assert not sends(play.at(HEDGE_DELAY_RATIO, TimerFired(TimerToken.HEDGE)))  # a hedge would need the same chunks
