--- a/ingress/decisions/concurrency_limit.py
+++ b/ingress/decisions/concurrency_limit.py
@@ -88,7 +88,7 @@
         """Return the part, 0 to 1, of one more attempt for which there is only unearned budget."""
         if self.budget is None:
             return 0.0
-        return min(1.0, self.budget.unearned_part(self.in_flight + self.in_flight_elsewhere + 1.0))
+        return min(1.0, self.budget.unearned_units(self.in_flight + self.in_flight_elsewhere + 1.0))
 
     def take(self) -> None:
         """Use unearned budget for one more attempt."""
--- a/ingress/decisions/quota.py
+++ b/ingress/decisions/quota.py
@@ -117,12 +117,12 @@
 
     def unearned_ratio(self, units: float) -> float:
         """Return the share, 0 to 1, of a request of `units` that only unearned units or concurrency can cover."""
-        slice_ratio = self.slice.unearned_part(units) / units if self.plan.rate else 0.0
+        slice_ratio = self.slice.unearned_units(units) / units if self.plan.rate else 0.0
         return max(slice_ratio, self.concurrency.unearned_part())
 
     def take(self, units: float) -> None:
         """Take the units of a request within the quota from the slice."""
-        unearned = self.slice.unearned - self.slice.unearned_part(units)
+        unearned = self.slice.unearned - self.slice.unearned_units(units)
         self.slice.level = max(0.0, self.slice.level - units)
         self.slice.deficit += units
         self.slice.unearned = min(unearned, self.slice.level)
--- a/ingress/decisions/token_bucket.py
+++ b/ingress/decisions/token_bucket.py
@@ -78,6 +78,6 @@
             self.unearned = max(0.0, self.unearned - overflow)
         super().refill(now, capacity)
 
-    def unearned_part(self, units: float) -> float:
+    def unearned_units(self, units: float) -> float:
         """Return how many of `units` would come from the unearned units."""
         return min(units, self.unearned, max(0.0, units + self.unearned - self.level))
--- a/tests/test_overage.py
+++ b/tests/test_overage.py
@@ -42,11 +42,11 @@
 
 def test_a_slice_counts_as_earned_what_refill_has_paid_for() -> None:
     bucket = SlicedBucket(rate=0.1, capacity=3.0, level=3.0, now=0.0, unearned=2.5)
-    assert bucket.unearned_part(0.5) == 0.0
-    assert bucket.unearned_part(2.0) == pytest.approx(1.5)
+    assert bucket.unearned_units(0.5) == 0.0
+    assert bucket.unearned_units(2.0) == pytest.approx(1.5)
     bucket.refill(10.0)  # the bucket is full, so refilled units pay for unearned ones
     assert bucket.unearned == pytest.approx(1.5)
-    assert bucket.unearned_part(2.0) == pytest.approx(0.5)
+    assert bucket.unearned_units(2.0) == pytest.approx(0.5)
 
 
 def test_a_slice_that_refills_after_overage_does_not_count_it_twice() -> None:
