--- a/ingress/decisions/retry.py
+++ b/ingress/decisions/retry.py
@@ -10,7 +10,7 @@
 from ingress.decisions.attempts import InFlightRequest
 from ingress.decisions.cluster import Cluster
 
-RETRY_BUDGET_RATIO = 0.15  # the mean number of retries and hedges for each first attempt
+RETRY_BUDGET_RATIO = 0.15  # the average number of retries and hedges that one first attempt pays for
 RETRY_BUDGET_CAPACITY_ATTEMPTS = 10.0
 INITIAL_RETRY_BUDGET_ATTEMPTS = 1.0
 
