--- a/ingress/decisions/cluster.py
+++ b/ingress/decisions/cluster.py
@@ -1,4 +1,4 @@
-"""The endpoints and all that is decided about them: the parts of load balancing, put together."""
+"""The upstream cluster: the endpoints of a gateway and the components that balance load over them."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
     """The upstream cluster of a gateway.
 
     Attributes:
-        latencies: mean latencies by request class.
-        outliers: judges the health of endpoints.
-        endpoints: the endpoints.
-        slow_start: budgets of endpoints that warm up.
-        congestion: how long attempts are open.
-        load_shedder: which requests are rejected for want of capacity.
-        load_balancer: which endpoint gets an attempt.
+        latencies: The mean latencies by request class.
+        outliers: The outlier detector, which ejects unhealthy endpoints and readmits them.
+        endpoints: The set of tracked endpoints.
+        slow_start: The request budgets of endpoints that warm up.
+        congestion: The estimate of how long attempts are open.
+        load_shedder: The load shedder, which decides whether a request is rejected for lack of capacity.
+        load_balancer: The load balancer, which chooses the endpoint of each attempt.
     """
 
     def __init__(self, settings: Settings, rng: random.Random, congestion: CongestionEstimate | None = None) -> None:
@@ -40,27 +40,39 @@
         self.load_balancer = LoadBalancer(self.endpoints, self.latencies, self.slow_start, rng)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over other settings."""
+        """Apply new settings to all components that depend on them."""
         self.latencies.apply_settings(settings)
         self.outliers.apply_settings(settings, self.latencies.longest_objective)
         self.endpoints.apply_settings(settings)
 
     def restore(self, state: HandoverState, now: float) -> None:
-        """Take over what another process of this gateway knew of the endpoints."""
+        """Restore the state that another process of this gateway had learned about the endpoints.
+
+        The health, load and slow start state of an endpoint is skipped if the endpoint is no longer tracked, or if it
+        has restarted since that state was recorded.
+        """
         self.latencies.mean_latencies = dict(state.mean_latencies)
         self.slow_start.typical_throughput = state.typical_throughput
         self.slow_start.work_rate = state.recent_work_rate
         self.slow_start.work_rate_at = now
-        for known in state.endpoints:
-            endpoint = self.endpoints.by_id.get(known.id)
-            if endpoint is None or (known.health and known.health.started_at < endpoint.info.started_at):
-                continue  # it was removed, or has started since
-            endpoint.restore(known)
-            if known.health is not None:
-                self.outliers.restore(endpoint.health, known.health, now)
+        for endpoint_state in state.endpoints:
+            endpoint = self.endpoints.by_id.get(endpoint_state.id)
+            health_state = endpoint_state.health
+            if endpoint is None or (health_state and health_state.started_at < endpoint.info.started_at):
+                continue
+            endpoint.restore(endpoint_state)
+            if health_state is not None:
+                self.outliers.restore(endpoint.health, health_state, now)
 
     def record_response(self, endpoint: TrackedEndpoint, request: InFlightRequest, latency: float, now: float) -> None:
-        """Add a response that took `latency` s to the means."""
+        """Add a response to the mean latencies and, for a preferred endpoint, to the work rate.
+
+        Args:
+            endpoint: The endpoint that responded.
+            request: The request that it responded to.
+            latency: The latency of the response in seconds.
+            now: The current time in seconds.
+        """
         self.latencies.record_latency(request.request_class, latency)
         if endpoint.preferred:
             self.slow_start.record_work(now, self.latencies.relative_work(request.request_class, request.units))
--- a/ingress/decisions/endpoint_set.py
+++ b/ingress/decisions/endpoint_set.py
@@ -1,4 +1,4 @@
-"""The set of all endpoints: what a change of the endpoint list does to it."""
+"""The set of all tracked endpoints, and how it follows the endpoint list."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class EndpointSet:
-    """All endpoints.
+    """The set of all tracked endpoints.
 
     Attributes:
-        settings: the current settings.
-        outliers: judges the health of the ready endpoints.
-        by_id: every endpoint that is listed or still holds an attempt.
-        ready: those that the list has as ready.
-        totals: sums over these.
-        subset: those of them that this gateway prefers.
+        settings: The current settings.
+        outliers: The outlier detector, which tracks the health of the ready endpoints.
+        by_id: The endpoints that are listed or still have attempts in flight, by ID.
+        ready: The endpoints that are listed as ready.
+        totals: The totals over the ready endpoints.
+        subset: The subset of the ready endpoints that this gateway prefers.
     """
 
     def __init__(self, settings: Settings, outliers: OutlierDetector, rng: random.Random) -> None:
@@ -39,12 +39,12 @@
         return self.subset.endpoints
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take over other settings; the endpoints stay as they are."""
+        """Apply new settings, and choose the subset again; the state of the endpoints is unchanged."""
         self.settings = settings
         self._choose_subset()
 
     def apply_list(self, event: EndpointsChanged, now: float) -> None:
-        """Take over a change of the endpoint list, or the complete list."""
+        """Apply an update of the endpoint list, or a complete list."""
         if event.kind is EndpointListKind.UNAVAILABLE:
             return
         entry_ids = {info.id for info in event.endpoints}
@@ -55,7 +55,7 @@
             self._apply_entry(info, now)
         self._drop_removed(entry_ids)
         self.ready = [endpoint for endpoint in self.by_id.values() if endpoint.ready]
-        self._recount()
+        self._recompute_totals()
         self.outliers.keep_only((endpoint.info.id for endpoint in self.ready), now)
         self._choose_subset()
 
@@ -72,13 +72,15 @@
         endpoint.ready = info.readiness is Readiness.READY
 
     def _drop_removed(self, entry_ids: set[str]) -> None:
-        """Forget endpoints that were removed or are listed no more, and hold no attempt."""
-        idle = [name for name, endpoint in self.by_id.items() if not endpoint.ready and not endpoint.in_flight]
-        for name in idle:
-            if self.by_id[name].info.readiness is Readiness.REMOVED or name not in entry_ids:
-                del self.by_id[name]
+        """Stop tracking endpoints that were removed or are no longer listed, once no attempt is in flight there."""
+        idle_ids = [
+            endpoint_id for endpoint_id, endpoint in self.by_id.items() if not endpoint.ready and not endpoint.in_flight
+        ]
+        for endpoint_id in idle_ids:
+            if self.by_id[endpoint_id].info.readiness is Readiness.REMOVED or endpoint_id not in entry_ids:
+                del self.by_id[endpoint_id]
 
-    def _recount(self) -> None:
+    def _recompute_totals(self) -> None:
         for endpoint in self.by_id.values():
             endpoint.totals = self.totals if endpoint.ready else ConcurrencyTotals()
         self.totals.concurrency_limits = sum(endpoint.concurrency_limit for endpoint in self.ready)
--- a/ingress/decisions/endpoint_state.py
+++ b/ingress/decisions/endpoint_state.py
@@ -1,4 +1,4 @@
-"""One endpoint as this gateway knows it: attempts in flight, adaptive concurrency limit, latency, health."""
+"""The state of one endpoint at this gateway: attempts in flight, adaptive concurrency limit, latency and health."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 from ingress.decisions.settings import Settings
 from ingress.decisions.token_bucket import TokenBucket
 
-TARGET_LATENCY_RATIO = 0.18  # of the latency objective: an endpoint with a higher mean holds too much
-TARGET_UTILIZATION = 0.55  # of the concurrency limits: above it load is shed
-INITIAL_CONCURRENCY_LIMIT = 1.0  # attempts, before the first response
-MIN_CONCURRENCY_LIMIT = 1.0  # attempts
+TARGET_LATENCY_RATIO = 0.18  # a share of the latency objective: above this mean, too many attempts are in flight
+TARGET_UTILIZATION = 0.55  # a share of the concurrency limits: above it, load is shed
+INITIAL_CONCURRENCY_LIMIT = 1.0  # the number of attempts allowed before the first response
+MIN_CONCURRENCY_LIMIT = 1.0  # the number of attempts that is always allowed
 LIMIT_REDUCTION_FACTOR = 0.85
-UNRESPONSIVE_RATIO = 4.0  # mean latencies without a sign of life
-OVERLOAD_PAUSE_RATIO = 0.25  # of the longest latency objective
+UNRESPONSIVE_RATIO = 4.0  # a multiple of the mean latency: an endpoint silent for longer is unresponsive
+OVERLOAD_PAUSE_RATIO = 0.25  # a share of the longest latency objective
 MIN_LATENCY_S = 1e-6
 
 
 class AttemptId(NamedTuple):
-    """Names an attempt within a gateway.
+    """The identifier of an attempt, unique within a gateway.
 
     Attributes:
-        request_id: the request.
-        number: the number of the attempt, from 0.
+        request_id: The ID of the request.
+        number: The number of the attempt within its request, from 0.
     """
 
     request_id: str
@@ -34,11 +34,13 @@
 
 
 class ConcurrencyTotals:
-    """Sums over all ready endpoints, kept up to date with each change: adding up thousands takes too long.
+    """The totals over all ready endpoints.
+
+    They are updated with each change, because adding up thousands of endpoints for each request takes too long.
 
     Attributes:
-        concurrency_limits: attempts that they may hold from this gateway.
-        in_flight: attempts that they hold.
+        concurrency_limits: The sum of the concurrency limits.
+        in_flight: The number of attempts in flight.
     """
 
     def __init__(self) -> None:
@@ -50,23 +52,23 @@
     """The state of one endpoint.
 
     Attributes:
-        info: its entry in the endpoint list.
-        ready: whether the list has it as ready.
-        preferred: whether it belongs to the subset that this gateway prefers.
-        totals: the sums that it counts in; its own while it is not ready.
-        subset_round: the round of subsets for which `subset_position` was drawn.
-        subset_position: its place in the order that the gateways of a round share out.
-        in_flight: attempts that it holds and when each was sent, the oldest first.
-        health: what is known of its health.
-        tracked_since: when this state began.
-        relative_latency: running mean of latency beside the mean of the class.
-        relative_latency_at: when that was last updated.
-        latency_ratio: running mean of latency as a share of the latency objective.
-        limit_reduced_at: when its concurrency limit was last reduced.
-        limit_was_reduced: whether that has happened since it started.
-        last_response_at: when it last gave a sign of life.
-        overloaded_until: until when it gets nothing, as it rejected an attempt while it was slow.
-        slow_start_budget: mean requests that it may be sent while it warms up.
+        info: The entry in the endpoint list.
+        ready: Whether the endpoint is listed as ready.
+        preferred: Whether the endpoint is in the subset that this gateway prefers.
+        totals: The totals that include this endpoint; a private instance while the endpoint is not ready.
+        subset_round: The round of subsets for which `subset_position` was computed.
+        subset_position: The sort key in the order of endpoints that the gateways of a round divide among themselves.
+        in_flight: The attempts in flight and the time at which each was sent, oldest first.
+        health: The health of the endpoint.
+        tracked_since: The time at which tracking of this incarnation began.
+        relative_latency: The running mean of the latency relative to the mean latency of the request class.
+        relative_latency_at: The time of the last update of `relative_latency`.
+        latency_ratio: The running mean of the latency as a share of the latency objective.
+        limit_reduced_at: The time of the last reduction of the concurrency limit.
+        limit_was_reduced: Whether the concurrency limit was ever reduced for this incarnation.
+        last_response_at: The time of the last sign of life.
+        overloaded_until: The time until which no attempts are sent, because a rejection came while latency was high.
+        slow_start_budget: The token bucket of work, in mean requests, that may be sent while the endpoint warms up.
     """
 
     def __init__(self, info: Endpoint, now: float, health: EndpointHealth, slow_start_level: float = 0.0) -> None:
@@ -81,10 +83,14 @@
         self.reset(now, health, slow_start_level)
 
     def reset(self, now: float, health: EndpointHealth, slow_start_level: float) -> None:
-        """Forget what is known of it, as the endpoint has started anew.
+        """Discard the state of an earlier incarnation, except for its attempts in flight.
 
-        `slow_start_level` is drawn evenly from 0 to 1 mean requests: budgets that fill slowly and start alike would
-        reach a whole request at the same moment at all gateways.
+        Args:
+            now: The current time in seconds.
+            health: The health of the new incarnation.
+            slow_start_level: The initial level of the slow start budget, drawn uniformly from 0 to 1 mean requests.
+                Budgets fill slowly; with the same initial level, those of all gateways would reach one complete
+                request at the same time.
         """
         self.relative_latency = 1.0
         self.relative_latency_at = now
@@ -100,7 +106,7 @@
 
     @property
     def concurrency_limit(self) -> float:
-        """How many attempts it may hold from this gateway."""
+        """The number of attempts from this gateway that may be in flight at the endpoint."""
         return self._concurrency_limit
 
     @concurrency_limit.setter
@@ -109,7 +115,7 @@
         self._concurrency_limit = value
 
     def snapshot(self) -> EndpointState:
-        """What another process of this gateway has to know."""
+        """Return the state for another process of this gateway."""
         return EndpointState(
             id=self.info.id,
             concurrency_limit=self.concurrency_limit,
@@ -121,7 +127,7 @@
         )
 
     def restore(self, state: EndpointState) -> None:
-        """Take over the load state, not the health, that another process of this gateway knew."""
+        """Restore the load state, but not the health, that another process of this gateway recorded."""
         self.concurrency_limit = state.concurrency_limit
         self.limit_was_reduced = state.limit_was_reduced
         self.latency_ratio = state.latency_ratio
@@ -129,37 +135,37 @@
         self.slow_start_budget.level = state.slow_start_level
 
     def warming_up(self, now: float, settings: Settings) -> bool:
-        """Return whether it started less than the slow start duration ago."""
+        """Return whether the endpoint started less than the slow start duration ago."""
         return self.info.started_at > 0.0 and now < self.info.started_at + settings.slow_start_duration
 
-    def attempt_started(self, key: AttemptId, now: float) -> None:
-        """An attempt is sent there."""
-        self.in_flight[key] = now
+    def attempt_started(self, attempt_id: AttemptId, now: float) -> None:
+        """Record that an attempt is sent to the endpoint."""
+        self.in_flight[attempt_id] = now
         self.totals.in_flight += 1
 
-    def attempt_ended(self, key: AttemptId, now: float) -> float:
-        """An attempt is over; returns when it was sent, or `now` if it was over before."""
-        if key not in self.in_flight:
+    def attempt_ended(self, attempt_id: AttemptId, now: float) -> float:
+        """Record the end of an attempt, and return when it was sent, or `now` if its end was recorded before."""
+        if attempt_id not in self.in_flight:
             return now
         self.totals.in_flight -= 1
-        return self.in_flight.pop(key)
+        return self.in_flight.pop(attempt_id)
 
     def oldest_attempt_age(self, now: float) -> float:
-        """Seconds for which its oldest attempt has been in flight; 0 if it holds none."""
+        """Return how long the oldest attempt has been in flight, in seconds; 0 if none is."""
         return now - next(iter(self.in_flight.values())) if self.in_flight else 0.0
 
     def record_latency(self, now: float, latency: float, mean: float, objective: float) -> None:
         """Adapt the concurrency limit to the latency of one response.
 
-        The limit is additively increased while the endpoint is fast and its limit is used, and multiplicatively
-        reduced while its mean latency is above the target.  Until the first reduction it grows by one with each
-        response, to find the capacity soon.
+        The limit is increased additively while the endpoint is fast and the limit is used, and reduced
+        multiplicatively while the mean latency is above the target (AIMD).  Until the first reduction, it grows by
+        one with each response, to find the capacity soon.
 
         Args:
-            now: the time.
-            latency: s that the response took.
-            mean: mean latency of the request's class, s.
-            objective: latency objective of the request's class, s.
+            now: The current time in seconds.
+            latency: The latency of the response in seconds.
+            mean: The mean latency of the request's class in seconds.
+            objective: The latency objective of the request's class in seconds.
         """
         self.relative_latency += NEW_SAMPLE_WEIGHT * (latency / max(mean, MIN_LATENCY_S) - self.relative_latency)
         self.relative_latency_at = now
@@ -173,22 +179,26 @@
             self.concurrency_limit += 1.0 / max(self.concurrency_limit, 1.0) if self.limit_was_reduced else 1.0
 
     def reduce_limit(self, now: float, min_interval: float) -> None:
-        """Reduces the concurrency limit, unless that was done less than `min_interval` s ago."""
+        """Reduce the concurrency limit, unless it was reduced less than `min_interval` seconds ago."""
         if now - self.limit_reduced_at < min_interval:
             return
-        used = min(self.concurrency_limit, len(self.in_flight) + 1.0)
-        self.concurrency_limit = max(MIN_CONCURRENCY_LIMIT, used * LIMIT_REDUCTION_FACTOR)
+        used_limit = min(self.concurrency_limit, len(self.in_flight) + 1.0)
+        self.concurrency_limit = max(MIN_CONCURRENCY_LIMIT, used_limit * LIMIT_REDUCTION_FACTOR)
         self.limit_reduced_at = now
         self.limit_was_reduced = True
 
     def record_rejection(self, now: float, longest_objective: float) -> None:
-        """It rejected an attempt: if it is slow as well it is overloaded, else it was about that request."""
+        """Record that the endpoint rejected an attempt.
+
+        If its latency is high as well, the endpoint is overloaded: reduce its limit and pause it.  Otherwise the
+        rejection concerns only that request.
+        """
         if self.latency_ratio >= TARGET_LATENCY_RATIO:
             self.reduce_limit(now, 0.0)
             self.overloaded_until = now + longest_objective * OVERLOAD_PAUSE_RATIO
 
     def unresponsive(self, now: float, mean_latency: float) -> bool:
-        """Return whether it holds attempts and has given no sign of life for some mean latencies (s).
+        """Return whether attempts are in flight and there was no sign of life for several mean latencies.
 
         Guards against an endpoint that died silently and looks idle until the first deadline passes.
         """
@@ -198,5 +208,5 @@
         return now - silent_since > UNRESPONSIVE_RATIO * mean_latency
 
     def avoided(self, now: float) -> bool:
-        """Return whether it gets nothing new, because of its health or as it is overloaded."""
+        """Return whether the endpoint gets no new attempts, because of its health or because it is overloaded."""
         return now < self.overloaded_until or self.health.avoided(now, len(self.in_flight))
