--- a/tests/fleet_day.py
+++ b/tests/fleet_day.py
@@ -1,6 +1,6 @@
-"""A scripted day for many gateways: seeds fixed, a fake clock, servers that fail by the script.
+"""A scenario of many gateways and endpoints, some of which fail for a while, with fixed seeds and simulated time.
 
-It drives the decisions alone, to count what a fleet does together; it is no model of a real machine.
+It drives only the decisions, to count what all gateways do together; it is not a model of a real machine.
 """
 
 from __future__ import annotations
@@ -43,14 +43,16 @@
     overload_window=2.0,
     drain_grace=2.0,
 )
-WAIT = 2.48  # s that the module may take
-PROBED = 0.005  # s until a probe is answered
+REQUEST_TIMEOUT_S = 2.48  # the time that each request has left when a gateway receives it
+HEALTH_CHECK_LATENCY_S = 0.005
+HEALTH_CHECK_TIMEOUT_S = 0.25
+END_MARGIN_S = 5.0  # the run continues for this long after the last request
 
-# What a faulty server does with one attempt: its outcome and how long that takes.
+# The behaviour of a faulty endpoint for one attempt: draws the outcome and the seconds until it.
 Fault = Callable[[random.Random], tuple[Outcome, float]]
 
 
-def work(rng: random.Random) -> float:
+def draw_latency(rng: random.Random) -> float:
     return 0.05 * rng.lognormvariate(-0.2, 0.6)
 
 
@@ -59,7 +61,7 @@
 
 
 def one_in_five(rng: random.Random) -> tuple[Outcome, float]:
-    return (Outcome.ERROR, 0.002) if rng.random() < 0.2 else (Outcome.OK, work(rng))
+    return (Outcome.ERROR, 0.002) if rng.random() < 0.2 else (Outcome.OK, draw_latency(rng))
 
 
 def silent(rng: random.Random) -> tuple[Outcome, float]:
@@ -71,38 +73,59 @@
 
 
 def slow(rng: random.Random) -> tuple[Outcome, float]:
-    return Outcome.OK, 12 * work(rng)
+    return Outcome.OK, 12 * draw_latency(rng)
 
 
 @dataclass
 class Report:
-    """What a day showed; servers are counted over all gateways."""
+    """The results of a run, counted over all gateways.
+
+    Attributes:
+        attempts: The number of attempts.
+        attempts_at_faulty: The number of attempts sent to faulty endpoints during the fault.
+        attempts_during_fault: The number of all attempts sent during the fault.
+        served: The number of requests answered within the latency objective.
+        requests: The number of requests.
+        health_checks: The number of health checks by endpoint.
+        ejection_delays: The seconds from a gateway's first attempt at a faulty endpoint to its ejection.
+        recovery_delays: The seconds from the end of the fault to the first success, by gateway and endpoint.
+        wrong_ejections: The number of ejections of healthy endpoints.
+        cpu_seconds: The CPU time of the decisions in seconds.
+    """
 
     attempts: int = 0
-    to_bad: int = 0  # attempts sent to faulty servers while they were
-    in_fault: int = 0  # all attempts sent meanwhile
-    served: int = 0  # answered within the aim
-    asked: int = 0
-    probes: dict[str, int] = field(default_factory=dict)
-    eject: list[float] = field(default_factory=list)  # s from a gateway's first attempt at a faulty one
-    back: list[float] = field(default_factory=list)  # s from the end of the fault to the first good answer
-    wrong: int = 0  # ejections of servers that were well
-    seconds: float = 0.0  # of the processor, in the decisions
+    attempts_at_faulty: int = 0
+    attempts_during_fault: int = 0
+    served: int = 0
+    requests: int = 0
+    health_checks: dict[str, int] = field(default_factory=dict)
+    ejection_delays: list[float] = field(default_factory=list)
+    recovery_delays: list[float] = field(default_factory=list)
+    wrong_ejections: int = 0
+    cpu_seconds: float = 0.0
 
     def row(self) -> dict[str, float]:
+        """Return the row of a table that compares runs."""
         return {
-            "probes a server": max(self.probes.values(), default=0),
-            "to bad %": round(100 * self.to_bad / max(1, self.in_fault), 2),
-            "served %": round(100 * self.served / max(1, self.asked), 2),
-            "eject s": round(median(self.eject), 2) if self.eject else -1.0,
-            "back s": round(median(self.back), 2) if self.back else -1.0,
-            "wrong": self.wrong,
-            "us a request": round(1e6 * self.seconds / max(1, self.asked), 1),
+            "probes a server": max(self.health_checks.values(), default=0),
+            "to bad %": round(100 * self.attempts_at_faulty / max(1, self.attempts_during_fault), 2),
+            "served %": round(100 * self.served / max(1, self.requests), 2),
+            "eject s": round(median(self.ejection_delays), 2) if self.ejection_delays else -1.0,
+            "back s": round(median(self.recovery_delays), 2) if self.recovery_delays else -1.0,
+            "wrong": self.wrong_ejections,
+            "us a request": round(1e6 * self.cpu_seconds / max(1, self.requests), 1),
         }
 
 
-class Day:
-    """`size` gateways before `size` servers; every `of`-th server is faulty from `start` to `end`."""
+class FleetScenario:
+    """A run of `size` gateways and `size` endpoints; one endpoint in `faulty_every` is faulty from `start` to `end`.
+
+    Attributes:
+        faulty_ids: The IDs of the endpoints that are faulty during the fault.
+        gateways: The gateways.
+        first_attempt_at: The time of the first attempt at a faulty endpoint during the fault, by gateway and endpoint;
+            -1 once its ejection is recorded.
+    """
 
     def __init__(
         self,
@@ -110,29 +133,30 @@
         fault: Fault,
         seed: int,
         *,
-        of: int = 8,
+        faulty_every: int = 8,
         start: float = 5.0,
         end: float = 12.0,
         length: float = 20.0,
         rate: float = 5.0,
         settings: Settings = SETTINGS,
     ) -> None:
-        self.rng, self.fault = random.Random(seed), fault
+        self.rng = random.Random(seed)
+        self.fault = fault
         self.start, self.end, self.length = start, end, length
-        self.names = [f"s{n}" for n in range(size)]
-        self.bad = set(self.names[::of])
-        fleet = tuple(Endpoint(name) for name in self.names)
+        endpoint_ids = [f"s{n}" for n in range(size)]
+        self.faulty_ids = set(endpoint_ids[::faulty_every])
+        fleet = tuple(Endpoint(endpoint_id) for endpoint_id in endpoint_ids)
         self.gateways = [
             Gateway(replace(settings, gateway_count=size, gateway_index=n), seed * 1000 + n) for n in range(size)
         ]
-        self.queue: list[tuple[float, int, int, Event]] = []
-        self.order = itertools.count()
-        self.tries: dict[tuple[int, str], int] = {}
-        self.out: dict[tuple[int, str, int], tuple[str, float]] = {}
-        self.began: dict[tuple[int, str], float] = {}  # first attempt at a faulty server
-        self.back: set[tuple[int, str]] = set()
-        self.ejected: set[tuple[int, str]] = set()
-        self.asked_at: dict[str, float] = {}
+        self.event_queue: list[tuple[float, int, int, Event]] = []
+        self.sequence = itertools.count()
+        self.attempt_counts: dict[tuple[int, str], int] = {}
+        self.in_flight: dict[tuple[int, str, int], tuple[str, float]] = {}
+        self.first_attempt_at: dict[tuple[int, str], float] = {}
+        self.recovered: set[tuple[int, str]] = set()
+        self.avoided: set[tuple[int, str]] = set()
+        self.received_at: dict[str, float] = {}
         self.report = Report()
         self.rate = rate
         for number in range(size):
@@ -140,90 +164,99 @@
             self._push(self.rng.expovariate(rate), number, self._request(number))
 
     def _push(self, at: float, number: int, event: Event) -> None:
-        heapq.heappush(self.queue, (at, next(self.order), number, event))
+        heapq.heappush(self.event_queue, (at, next(self.sequence), number, event))
 
     def _request(self, number: int) -> RequestReceived:
-        return RequestReceived(f"r{next(self.order)}", "read", "basic", f"c{self.rng.randrange(50)}", WAIT)
-
-    def play(self) -> Report:
-        while self.queue:
-            now, _, number, event = heapq.heappop(self.queue)
-            if now > self.length + 5.0:
+        return RequestReceived(
+            f"r{next(self.sequence)}", "read", "basic", f"c{self.rng.randrange(50)}", REQUEST_TIMEOUT_S
+        )
+
+    def run(self) -> Report:
+        """Process all events in order of time, and return the report."""
+        while self.event_queue:
+            now, _, number, event = heapq.heappop(self.event_queue)
+            if now > self.length + END_MARGIN_S:
                 break
             gateway = self.gateways[number]
             if isinstance(event, RequestReceived):
-                self.report.asked += 1
-                self.asked_at[event.request_id] = now
-                self.tries[number, event.request_id] = 0
+                self.report.requests += 1
+                self.received_at[event.request_id] = now
+                self.attempt_counts[number, event.request_id] = 0
                 if now < self.length:
                     self._push(now + self.rng.expovariate(self.rate), number, self._request(number))
             elif isinstance(event, AttemptEnded):
-                # The first end of an attempt counts: it may have been cancelled meanwhile.
-                held = self.out.pop((number, event.request_id, event.attempt), None)
-                if held is None:
+                # The first end of an attempt counts: it may have been cancelled before its response was due.
+                attempt = self.in_flight.pop((number, event.request_id, event.attempt), None)
+                if attempt is None:
                     continue
-                won = event.outcome is Outcome.OK and event.request_id in self.asked_at
-                if won:
-                    self.report.served += now - self.asked_at.pop(event.request_id) <= CLASS.latency_objective
-                    self._answered(now, number, event.endpoint_id)
-                event = replace(event, latency=now - held[1], request_finished=event.request_id not in self.asked_at)
+                is_first_response = event.outcome is Outcome.OK and event.request_id in self.received_at
+                if is_first_response:
+                    self.report.served += now - self.received_at.pop(event.request_id) <= CLASS.latency_objective
+                    self._record_success(now, number, event.endpoint_id)
+                event = replace(
+                    event, latency=now - attempt[1], request_finished=event.request_id not in self.received_at
+                )
             before = time.process_time()
             actions = gateway.handle(now, event)
-            self.report.seconds += time.process_time() - before
+            self.report.cpu_seconds += time.process_time() - before
             for action in actions:
-                self._do(now, number, action)
+                self._take_action(now, number, action)
             if isinstance(event, AttemptEnded):
-                self._look(now, number, event.endpoint_id)
+                self._record_ejection(now, number, event.endpoint_id)
         return self.report
 
-    def _answered(self, now: float, number: int, name: str) -> None:
-        if name in self.bad and now >= self.end and (number, name) in self.began and ((number, name) not in self.back):
-            self.back.add((number, name))
-            self.report.back.append(now - self.end)
-
-    def _look(self, now: float, number: int, name: str) -> None:
-        """Whether the gateway has ejected the server, as it says itself."""
-        server = self.gateways[number].cluster.endpoints.by_id[name]
-        if not server.avoided(now):
-            self.ejected.discard((number, name))
-        elif (number, name) not in self.ejected:
-            self.ejected.add((number, name))
-            if name not in self.bad or not self.start <= now < self.end + WAIT:
-                self.report.wrong += 1
-            elif (number, name) in self.began and self.began[number, name] >= 0:
-                self.report.eject.append(now - self.began[number, name])
-                self.began[number, name] = -1.0  # only the first time counts
-
-    def _do(self, now: float, number: int, action: Action) -> None:
+    def _record_success(self, now: float, number: int, endpoint_id: str) -> None:
+        key = (number, endpoint_id)
+        was_attempted = endpoint_id in self.faulty_ids and key in self.first_attempt_at
+        if was_attempted and now >= self.end and key not in self.recovered:
+            self.recovered.add(key)
+            self.report.recovery_delays.append(now - self.end)
+
+    def _record_ejection(self, now: float, number: int, endpoint_id: str) -> None:
+        """Record whether the gateway avoids the endpoint now, and whether it has reason to."""
+        key = (number, endpoint_id)
+        endpoint = self.gateways[number].cluster.endpoints.by_id[endpoint_id]
+        if not endpoint.avoided(now):
+            self.avoided.discard(key)
+        elif key not in self.avoided:
+            self.avoided.add(key)
+            if endpoint_id not in self.faulty_ids or not self.start <= now < self.end + REQUEST_TIMEOUT_S:
+                self.report.wrong_ejections += 1
+            elif key in self.first_attempt_at and self.first_attempt_at[key] >= 0:
+                self.report.ejection_delays.append(now - self.first_attempt_at[key])
+                self.first_attempt_at[key] = -1.0  # only the first ejection counts
+
+    def _take_action(self, now: float, number: int, action: Action) -> None:
         match action:
-            case StartAttempt(request_id=key, endpoint_id=name, timeout=timeout):
-                attempt = self.tries.get((number, key), 0)
-                self.tries[number, key] = attempt + 1
+            case StartAttempt(request_id=request_id, endpoint_id=endpoint_id, timeout=timeout):
+                attempt = self.attempt_counts.get((number, request_id), 0)
+                self.attempt_counts[number, request_id] = attempt + 1
                 self.report.attempts += 1
-                faulty = self.start <= now < self.end
-                self.report.in_fault += faulty
-                if faulty and name in self.bad:
-                    self.report.to_bad += 1
-                    self.began.setdefault((number, name), now)
-                    outcome, after = self.fault(self.rng)
+                during_fault = self.start <= now < self.end
+                self.report.attempts_during_fault += during_fault
+                if during_fault and endpoint_id in self.faulty_ids:
+                    self.report.attempts_at_faulty += 1
+                    self.first_attempt_at.setdefault((number, endpoint_id), now)
+                    outcome, delay = self.fault(self.rng)
                 else:
-                    outcome, after = Outcome.OK, work(self.rng)
-                if after >= timeout:
-                    outcome, after = Outcome.TIMEOUT, timeout
-                self.out[number, key, attempt] = (name, now)
-                self._push(now + after, number, AttemptEnded(key, attempt, name, outcome))
-            case CancelAttempt(request_id=key, attempt=attempt):
-                if held := self.out.get((number, key, attempt)):
-                    self._push(now, number, AttemptEnded(key, attempt, held[0], Outcome.CANCELLED))
+                    outcome, delay = Outcome.OK, draw_latency(self.rng)
+                if delay >= timeout:
+                    outcome, delay = Outcome.TIMEOUT, timeout
+                self.in_flight[number, request_id, attempt] = (endpoint_id, now)
+                self._push(now + delay, number, AttemptEnded(request_id, attempt, endpoint_id, outcome))
+            case CancelAttempt(request_id=request_id, attempt=attempt):
+                if in_flight := self.in_flight.get((number, request_id, attempt)):
+                    self._push(now, number, AttemptEnded(request_id, attempt, in_flight[0], Outcome.CANCELLED))
             case SetTimer(delay=delay, token=token):
                 self._push(now + delay, number, TimerFired(token))
-            case StartHealthCheck(endpoint_id=name):
-                self.report.probes[name] = self.report.probes.get(name, 0) + 1
-                dead = name in self.bad and self.start <= now < self.end and self.fault in (silent, refusing)
+            case StartHealthCheck(endpoint_id=endpoint_id):
+                self.report.health_checks[endpoint_id] = self.report.health_checks.get(endpoint_id, 0) + 1
+                during_fault = self.start <= now < self.end
+                fails = endpoint_id in self.faulty_ids and during_fault and self.fault in (silent, refusing)
                 self._push(
-                    now + (0.25 if dead else PROBED),
+                    now + (HEALTH_CHECK_TIMEOUT_S if fails else HEALTH_CHECK_LATENCY_S),
                     number,
-                    HealthCheckEnded(name, Outcome.TIMEOUT if dead else Outcome.OK, PROBED),
+                    HealthCheckEnded(endpoint_id, Outcome.TIMEOUT if fails else Outcome.OK, HEALTH_CHECK_LATENCY_S),
                 )
             case _:
                 pass
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""How endpoints are chosen and how much each is sent.  Each test stands for a failure seen."""
+"""Tests of the choice of endpoints and of the load that each one is sent.  Each guards against an observed failure."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 
 from .conftest import BASIC, FLEET, SAFE, SETTINGS, Play, sends
 
-WIDE = replace(SETTINGS, plans=(replace(BASIC, rate=1e6, burst=1e6),))
+UNLIMITED = replace(SETTINGS, plans=(replace(BASIC, rate=1e6, burst=1e6),))
 
 
-def carry(play: Play, latency: float, rounds: int = 200) -> dict[str, int]:
-    """Sends `rounds` requests one by one, each answered after `latency`; how many each backend got."""
-    got: dict[str, int] = {}
-    for _ in range(rounds):
+def send_requests(play: Play, latency: float, request_count: int = 200) -> dict[str, int]:
+    """Send requests one by one, each answered after `latency`; return the number of attempts by endpoint."""
+    attempt_counts: dict[str, int] = {}
+    for _ in range(request_count):
         for sent in sends(play.ask(0.01)):
-            got[sent.endpoint_id] = got.get(sent.endpoint_id, 0) + 1
+            attempt_counts[sent.endpoint_id] = attempt_counts.get(sent.endpoint_id, 0) + 1
             play.end(sent, Outcome.OK, latency)
-    return got
+    return attempt_counts
 
 
-def test_the_first_seconds_do_not_fill_the_endpoints() -> None:
-    play = Play(WIDE)
+def test_concurrency_limits_start_low_and_grow_with_responses() -> None:
+    play = Play(UNLIMITED)
     for _ in range(100):
         play.ask(0.0)
     assert len(sends(play.actions)) <= len(FLEET)
@@ -42,9 +42,9 @@
     assert len(sends([a for _ in range(100) for a in play.ask(0.0)])) > len(FLEET) / 2
 
 
-def test_what_is_out_too_long_shrinks_a_limit_without_any_answer() -> None:
-    play = Play(WIDE)
-    carry(play, 0.05)
+def test_old_attempts_reduce_the_concurrency_limit_without_any_response() -> None:
+    play = Play(UNLIMITED)
+    send_requests(play, 0.05)
     for endpoint in play.gateway.cluster.endpoints.by_id.values():
         endpoint.concurrency_limit = 20.0
     for _ in range(40):
@@ -55,50 +55,50 @@
     assert sum(s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values()) < before / 2
 
 
-def test_a_silent_endpoint_gets_nothing_new() -> None:
-    play = Play(WIDE)
-    carry(play, 0.05)
-    stuck = sends(play.ask(0.0))[0].endpoint_id
+def test_an_unresponsive_endpoint_gets_no_new_attempts() -> None:
+    play = Play(UNLIMITED)
+    send_requests(play, 0.05)
+    unresponsive = sends(play.ask(0.0))[0].endpoint_id
     play.now += 0.5
-    assert stuck not in carry(play, 0.01, 40)
+    assert unresponsive not in send_requests(play, 0.01, 40)
 
 
-def test_a_slow_endpoint_gets_less() -> None:
-    play = Play(WIDE)
-    got: dict[str, int] = {}
+def test_a_slow_endpoint_gets_fewer_attempts() -> None:
+    play = Play(UNLIMITED)
+    attempt_counts: dict[str, int] = {}
     for _ in range(300):
         for sent in sends(play.ask(0.02)):
-            got[sent.endpoint_id] = got.get(sent.endpoint_id, 0) + 1
+            attempt_counts[sent.endpoint_id] = attempt_counts.get(sent.endpoint_id, 0) + 1
             play.end(sent, Outcome.OK, 0.3 if sent.endpoint_id == "b1" else 0.05)
-    assert got["b1"] < min(got[b] for b in ("b0", "b2", "b3")) / 2
+    assert attempt_counts["b1"] < min(attempt_counts[b] for b in ("b0", "b2", "b3")) / 2
 
 
-def test_attempts_that_stay_out_shed_the_least_worth_before_any_answer_comes() -> None:
+def test_open_attempts_cause_load_shedding_before_any_response() -> None:
     play = Play(
         replace(SETTINGS, gateway_count=300, plans=(replace(BASIC, rate=1e4, burst=1e5),)),
         (Endpoint(f"b{n}") for n in range(80)),
     )
     sent = sum(len(sends(play.ask(0.3))) for _ in range(40))
-    assert sent < 30  # none was answered: what is out tells of the jam, though no backend holds two
+    assert sent < 30  # no response arrived: only the open attempts indicate congestion, at most one at each endpoint
     play.now += 30.0
-    assert sends(play.ask())  # it is tried again
+    assert sends(play.ask())  # attempts are sent again
 
 
-def test_a_few_endpoints_that_never_answer_are_no_congestion() -> None:
+def test_a_few_endpoints_that_never_respond_are_no_congestion() -> None:
     play = Play(
         replace(SETTINGS, gateway_count=300, plans=(replace(BASIC, rate=1e4, burst=1e5),)),
         (Endpoint(f"b{n}") for n in range(80)),
     )
-    passed = 0
+    sent_count = 0
     for _ in range(200):
         for sent in sends(play.ask(0.2)):
-            passed += 1
+            sent_count += 1
             if int(sent.endpoint_id[1:]) >= 8:
                 play.end(sent, Outcome.OK, 0.1)
-    assert passed > 180
+    assert sent_count > 180
 
 
-def test_idle_endpoints_are_chosen_by_size_not_all_the_largest() -> None:
+def test_idle_endpoints_are_chosen_in_proportion_to_their_weights() -> None:
     fleet = [Endpoint(f"b{n}", weight=2.0 if n < 10 else 1.0) for n in range(40)]
     chosen = []
     for seed in range(400):
@@ -107,17 +107,17 @@
         actions = gateway.handle(1.1, RequestReceived("r", "read", "basic", "c", 4.0))
         chosen += [int(s.endpoint_id[1:]) for s in sends(actions)]
     assert len(set(chosen)) == len(fleet)
-    assert 0.3 < sum(n < 10 for n in chosen) / len(chosen) < 0.5  # 20 of 50 by size
+    assert 0.3 < sum(n < 10 for n in chosen) / len(chosen) < 0.5  # the weight of the large ones is 20 of 50
 
 
-def test_an_empty_zone_is_no_reason_to_reject() -> None:
-    play = Play(replace(WIDE, zone="c"), fleet=(Endpoint("x", "a"),))
+def test_a_gateway_without_endpoints_in_its_zone_uses_another_zone() -> None:
+    play = Play(replace(UNLIMITED, zone="c"), fleet=(Endpoint("x", "a"),))
     assert sends(play.ask())
 
 
-def test_each_gateway_keeps_to_a_subset_and_all_together_cover_the_fleet_evenly() -> None:
+def test_subsets_are_stable_and_cover_the_endpoints_evenly() -> None:
     fleet = tuple(Endpoint(f"10.0.0.{n}:9000", zone="ab"[n % 2]) for n in range(60))
-    users = dict.fromkeys((b.id for b in fleet), 0)
+    preferring_gateways = dict.fromkeys((b.id for b in fleet), 0)
     for number in range(300):
         gateway = Gateway(replace(SETTINGS, gateway_count=300, gateway_index=number), 1)
         gateway.handle(1.0, EndpointsChanged(EndpointListKind.RESTORED, fleet))
@@ -126,44 +126,44 @@
         gateway.handle(2.0, EndpointsChanged(EndpointListKind.REPLACE, fleet[1:]))
         assert (
             len({s.info.id for s in gateway.cluster.endpoints.preferred} - set(preferred)) <= 1
-        )  # one goes, at most one is new
+        )  # one was removed, so at most one is new
         for name in preferred:
-            users[name] += 1
-    assert min(users.values()) > 30  # 60 on the mean
-    assert max(users.values()) < 90
+            preferring_gateways[name] += 1
+    assert min(preferring_gateways.values()) > 30  # the mean is 60
+    assert max(preferring_gateways.values()) < 90
 
 
-def test_beyond_an_unhealthy_subset_the_rest_of_the_fleet_is_used() -> None:
-    play = Play(WIDE, (Endpoint(f"b{n}") for n in range(40)))
+def test_other_endpoints_are_used_while_the_complete_subset_is_paused() -> None:
+    play = Play(UNLIMITED, (Endpoint(f"b{n}") for n in range(40)))
     preferred = list(play.gateway.cluster.endpoints.preferred)
     for endpoint in preferred:
-        endpoint.health.paused_until = play.now + 60.0  # each refuses
+        endpoint.health.paused_until = play.now + 60.0  # as if each had rejected attempts
     sent = sends(play.ask(0.01))
     assert sent
     assert sent[0].endpoint_id not in {s.info.id for s in preferred}
 
 
-COPYING = replace(SETTINGS, hedging_allowed=True, cancellation_allowed=True)
+HEDGING = replace(SETTINGS, hedging_allowed=True, cancellation_allowed=True)
 
 
-def silent(play: Play) -> StartAttempt:
-    """A request whose first attempt is never answered; what is sent at the time of a second attempt."""
+def hedge_of_unanswered_request(play: Play) -> StartAttempt:
+    """Send a request whose first attempt gets no response, and return its hedge."""
     first = sends(play.ask())[0]
-    again = sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))
-    assert len(again) == 1 and again[0].request_id == first.request_id and again[0].endpoint_id != first.endpoint_id
-    return again[0]
+    hedges = sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))
+    assert len(hedges) == 1 and hedges[0].request_id == first.request_id and hedges[0].endpoint_id != first.endpoint_id
+    return hedges[0]
 
 
-def test_an_attempt_that_is_not_answered_gets_a_second_beside_it() -> None:
-    play = Play(COPYING)
+def test_an_attempt_without_a_response_gets_a_hedge() -> None:
+    play = Play(HEDGING)
     play.gateway.forwarder.retry_budget.level = 5.0
-    again = silent(play)
-    done = play.end(again, attempt=1)
-    assert done == [CancelAttempt(again.request_id, 0)] and play.gateway.forwarder.retry_budget.level < 5.0
+    hedge = hedge_of_unanswered_request(play)
+    actions = play.end(hedge, attempt=1)
+    assert actions == [CancelAttempt(hedge.request_id, 0)] and play.gateway.forwarder.retry_budget.level < 5.0
 
 
-def test_no_second_attempt_is_made_for_what_is_answered_or_where_two_are_not_allowed() -> None:
-    play = Play(COPYING)
+def test_no_hedge_is_sent_after_a_response_or_where_hedging_is_not_allowed() -> None:
+    play = Play(HEDGING)
     play.end(sends(play.ask())[0])
     assert (
         play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)) == []
@@ -174,84 +174,90 @@
     assert TimerToken.HEDGE not in [a.token for a in play.actions if isinstance(a, SetTimer)]
 
 
-@pytest.mark.parametrize(("odds", "count"), [(0.0, 0), (1.0, 1)])
-def test_second_attempts_that_do_not_win_need_ample_room(odds: float, count: int) -> None:
-    play = Play(COPYING)
-    play.gateway.forwarder.retry_budget.level, play.gateway.forwarder.hedging.win_rate = 5.0, odds
+@pytest.mark.parametrize(("win_rate", "count"), [(0.0, 0), (1.0, 1)])
+def test_hedges_with_a_low_win_rate_need_more_spare_capacity(win_rate: float, count: int) -> None:
+    play = Play(HEDGING)
+    play.gateway.forwarder.retry_budget.level = 5.0
+    play.gateway.forwarder.hedging.win_rate = win_rate
     play.gateway.cluster.load_shedder.saturation = lambda now: HEDGE_MAX_SATURATION / 2  # type: ignore[method-assign]
     assert sends(play.ask())
     assert len(sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))) == count
 
 
-def test_which_attempt_answers_first_is_learned() -> None:
-    play = Play(COPYING)
+def test_the_hedge_win_rate_follows_which_attempt_responds_first() -> None:
+    play = Play(HEDGING)
     play.gateway.forwarder.retry_budget.level = 5.0
     first = sends(play.ask())[0]
-    again = sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))[0]
-    play.end(again, attempt=1)
+    hedge = sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))[0]
+    play.end(hedge, attempt=1)
     play.end(first, Outcome.CANCELLED, request_finished=True)
     assert play.gateway.forwarder.hedging.win_rate > 0.5
-    odds, first = play.gateway.forwarder.hedging.win_rate, sends(play.ask())[0]
+    win_rate = play.gateway.forwarder.hedging.win_rate
+    first = sends(play.ask())[0]
     play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE))
     play.end(first, attempt=0)
-    assert play.gateway.forwarder.hedging.win_rate < odds
+    assert play.gateway.forwarder.hedging.win_rate < win_rate
 
 
-def preferred(gateways: int, servers: list[str]) -> list[Gateway]:
-    fleet = EndpointsChanged(EndpointListKind.RESTORED, tuple(Endpoint(name) for name in servers))
-    found = [Gateway(replace(SETTINGS, gateway_count=gateways, gateway_index=n), n) for n in range(gateways)]
-    for gateway in found:
+def make_gateways(gateway_count: int, endpoint_ids: list[str]) -> list[Gateway]:
+    fleet = EndpointsChanged(EndpointListKind.RESTORED, tuple(Endpoint(name) for name in endpoint_ids))
+    gateways = [
+        Gateway(replace(SETTINGS, gateway_count=gateway_count, gateway_index=n), n) for n in range(gateway_count)
+    ]
+    for gateway in gateways:
         gateway.handle(1.0, fleet)
-    return found
+    return gateways
 
 
-def names(gateway: Gateway) -> set[str]:
+def preferred_ids(gateway: Gateway) -> set[str]:
     return {endpoint.info.id for endpoint in gateway.cluster.endpoints.preferred}
 
 
 @pytest.mark.parametrize(("gateways", "servers"), [(200, 128), (218, 128), (60, 39), (200, 200), (50, 1000)])
 def test_endpoints_are_preferred_by_equally_many_gateways(gateways: int, servers: int) -> None:
-    every = [f"s{n}" for n in range(servers)]
-    counts = Counter(name for gateway in preferred(gateways, every) for name in names(gateway))
+    endpoint_ids = [f"s{n}" for n in range(servers)]
+    counts = Counter(name for gateway in make_gateways(gateways, endpoint_ids) for name in preferred_ids(gateway))
     mean = gateways * SUBSET_SIZE / servers
-    # By independent draws the deviation would be the root of the mean: 4.3 of 18.8 at 200 before 128.
-    deviation = (sum((counts[name] - mean) ** 2 for name in every) / servers) ** 0.5
+    # With independent draws, the standard deviation would be the square root of the mean: 4.3 for a mean of 18.8 with
+    # 200 gateways and 128 endpoints.
+    deviation = (sum((counts[name] - mean) ** 2 for name in endpoint_ids) / servers) ** 0.5
     assert deviation < max(1.2, 0.35 * mean**0.5) and max(counts.values()) <= mean + 4
 
 
-def test_what_is_known_of_endpoints_is_kept_when_others_come_and_go() -> None:
-    every = [f"s{n}" for n in range(128)]
-    found = preferred(100, every)
-    before = [names(gateway) for gateway in found]
-    lost = set(every[::4])
-    for gateway, had in zip(found, before, strict=True):
+def test_endpoints_stay_preferred_when_others_are_removed_and_return() -> None:
+    endpoint_ids = [f"s{n}" for n in range(128)]
+    gateways = make_gateways(100, endpoint_ids)
+    ids_before = [preferred_ids(gateway) for gateway in gateways]
+    removed_ids = set(endpoint_ids[::4])
+    for gateway, ids in zip(gateways, ids_before, strict=True):
         gateway.handle(
             2.0,
             EndpointsChanged(
-                EndpointListKind.UPDATE, tuple(Endpoint(name, readiness=Readiness.REMOVED) for name in lost)
+                EndpointListKind.UPDATE, tuple(Endpoint(name, readiness=Readiness.REMOVED) for name in removed_ids)
             ),
         )
-        assert had - lost <= names(gateway) and len(names(gateway)) == SUBSET_SIZE
-    for gateway in found:
+        assert ids - removed_ids <= preferred_ids(gateway) and len(preferred_ids(gateway)) == SUBSET_SIZE
+    for gateway in gateways:
         gateway.handle(
-            3.0, EndpointsChanged(EndpointListKind.UPDATE, tuple(Endpoint(name, started_at=3.0) for name in lost))
+            3.0,
+            EndpointsChanged(EndpointListKind.UPDATE, tuple(Endpoint(name, started_at=3.0) for name in removed_ids)),
         )
-    # Those that are back are taken up at once, by as many as had them.
-    counts = Counter(name for gateway in found for name in names(gateway))
-    assert min(counts[name] for name in lost) >= 5
-    assert sum(names(gateway) == had for gateway, had in zip(found, before, strict=True)) > 90
+    # Endpoints that return are preferred at once, by as many gateways as before.
+    counts = Counter(name for gateway in gateways for name in preferred_ids(gateway))
+    assert min(counts[name] for name in removed_ids) >= 5
+    assert sum(preferred_ids(gateway) == ids for gateway, ids in zip(gateways, ids_before, strict=True)) > 90
 
 
 @settings(max_examples=200, deadline=None)
 @given(steps=st.lists(st.tuples(st.integers(0, 5), st.integers(0, 30), st.floats(0.0, 1.5)), max_size=60))
-def test_what_all_endpoints_hold_is_known_without_adding_it_up(steps: list[tuple[int, int, float]]) -> None:
+def test_incremental_totals_equal_the_sums_over_ready_endpoints(steps: list[tuple[int, int, float]]) -> None:
     play = Play()
-    open_ones: list[StartAttempt] = []
+    open_attempts: list[StartAttempt] = []
     for kind, pick, after in steps:
         if kind < 2:
-            open_ones += sends(play.ask(after, customer=f"c{pick}"))
-        elif kind < 4 and open_ones:
-            send = open_ones.pop(pick % len(open_ones))
+            open_attempts += sends(play.ask(after, customer=f"c{pick}"))
+        elif kind < 4 and open_attempts:
+            send = open_attempts.pop(pick % len(open_attempts))
             play.end(
                 send,
                 (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET)[pick % 4],
@@ -259,7 +265,7 @@
                 request_finished=True,
             )
         else:
-            there = tuple(
+            listed = tuple(
                 replace(
                     info,
                     readiness=Readiness.DRAINING if pick >> n & 1 else Readiness.READY,
@@ -267,7 +273,7 @@
                 )
                 for n, info in enumerate(FLEET)
             )
-            play.at(after, EndpointsChanged(EndpointListKind.UPDATE, there))
+            play.at(after, EndpointsChanged(EndpointListKind.UPDATE, listed))
         fleet = play.gateway.cluster.endpoints
         assert fleet.totals.in_flight == sum(len(s.in_flight) for s in fleet.ready)
         assert fleet.totals.concurrency_limits == pytest.approx(sum(s.concurrency_limit for s in fleet.ready))
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what ejects an endpoint, what does not, and how one comes back.  Events and a fake clock only."""
+"""Tests of outlier detection: ejection, its limits, and readmission.  They use events and a fake clock only."""
 
 from __future__ import annotations
 
@@ -28,32 +28,40 @@
 from ingress.decisions.timers import TimerToken
 
 from .conftest import BASIC, FLEET, SAFE, SETTINGS, UNSAFE, Play, sends
-from .fleet_day import Day, silent
+from .fleet_day import FleetScenario, silent
 
-WIDE = replace(SETTINGS, plans=(replace(BASIC, rate=1e6, burst=1e6),))
+UNLIMITED = replace(SETTINGS, plans=(replace(BASIC, rate=1e6, burst=1e6),))
 ERROR, TIMEOUT, REFUSED = Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED
-FOUND = [ERROR, Outcome.MALFORMED, Outcome.RESET, TIMEOUT, REFUSED, Outcome.CANCELLED]
+FAILURE_OUTCOMES = [ERROR, Outcome.MALFORMED, Outcome.RESET, TIMEOUT, REFUSED, Outcome.CANCELLED]
 
 
 class DetectorHarness:
-    """A detector with some endpoints, all heard from, and a clock."""
-
-    def __init__(self, count: int, settings: Settings = SETTINGS, good: int = 5) -> None:
-        self.now, self.longest_objective = 100.0, 1.0
+    """A detector with a clock, and some endpoints that have responded.
+
+    Attributes:
+        now: The time of the fake clock in seconds.
+        longest_objective: The longest latency objective in seconds.
+        outliers: The detector.
+        endpoints: The health of the endpoints.
+    """
+
+    def __init__(self, count: int, settings: Settings = SETTINGS, initial_successes: int = 5) -> None:
+        self.now = 100.0
+        self.longest_objective = 1.0
         self.outliers = OutlierDetector(settings, self.longest_objective, random.Random(1))
         self.endpoints = [self.outliers.track(f"s{n}", 0.0, self.now) for n in range(count)]
-        for _ in range(good):
+        for _ in range(initial_successes):
             self.succeed()
 
     def succeed(self, *except_for: EndpointHealth, after: float = 0.05) -> None:
-        """One good response from each other endpoint."""
+        """Record one success of each endpoint except these."""
         self.now += after
         for health in self.endpoints:
             if health not in except_for:
                 self.outliers.record_success(health, self.now, late=False)
 
-    def fail(self, health: EndpointHealth, outcome: Outcome = ERROR, times: int = 1, silent: bool = False) -> None:
-        for _ in range(times):
+    def fail(self, health: EndpointHealth, outcome: Outcome = ERROR, count: int = 1, silent: bool = False) -> None:
+        for _ in range(count):
             self.outliers.record_failure(health, self.now, outcome, silent)
 
     def eject(self, health: EndpointHealth) -> None:
@@ -73,74 +81,76 @@
         return self.states().count(HealthStatus.EJECTED)
 
 
-# What ejects
+# Evidence that ejects an endpoint
 
 
-@pytest.mark.parametrize("outcome", FOUND)
-def test_an_endpoint_that_fails_while_the_rest_serves_is_ejected_after_a_handful(outcome: Outcome) -> None:
-    harness, count = DetectorHarness(12), 0
+@pytest.mark.parametrize("outcome", FAILURE_OUTCOMES)
+def test_an_endpoint_that_fails_alone_is_ejected_after_two_or_three_failures(outcome: Outcome) -> None:
+    harness = DetectorHarness(12)
     health = harness.endpoints[0]
+    failure_count = 0
     while health.status is not HealthStatus.EJECTED:
         harness.fail(health, outcome, silent=True)
-        count += 1
-        assert count <= 3
-    assert harness.ejected() == 1 and count >= 2
+        failure_count += 1
+        assert failure_count <= 3
+    assert harness.ejected() == 1 and failure_count >= 2
 
 
 def test_one_failure_does_not_eject() -> None:
-    for outcome in FOUND:
-        harness = DetectorHarness(12, good=1)
+    for outcome in FAILURE_OUTCOMES:
+        harness = DetectorHarness(12, initial_successes=1)
         harness.fail(harness.endpoints[0], outcome)
         assert harness.endpoints[0].status is not HealthStatus.EJECTED
 
 
-def test_one_failure_in_five_is_told_from_one_in_a_hundred() -> None:
+def test_one_failure_in_five_is_distinguished_from_one_in_a_hundred() -> None:
     harness = DetectorHarness(12)
-    unhealthy, healthy, rng = harness.endpoints[0], harness.endpoints[1], random.Random(3)
-    found = 0
+    unhealthy, healthy = harness.endpoints[0], harness.endpoints[1]
+    rng = random.Random(3)
+    ejection_count = 0
     for _ in range(300):
         harness.succeed(unhealthy, healthy)
         for health, rate in ((unhealthy, 0.2), (healthy, 0.01)):
             if health.status is HealthStatus.EJECTED:
-                found += health is unhealthy
+                ejection_count += health is unhealthy
                 assert health is unhealthy
                 harness.start_probation(health)
             if rng.random() < rate:
                 harness.fail(health)
             else:
                 harness.outliers.record_success(health, harness.now, late=False)
-    assert found >= 10
+    assert ejection_count >= 10
 
 
-def test_a_success_between_failures_does_not_wipe_them() -> None:
-    harness = DetectorHarness(12, good=2)
+def test_a_success_between_failures_does_not_clear_the_evidence() -> None:
+    harness = DetectorHarness(12, initial_successes=2)
     health = harness.endpoints[0]
     for _ in range(4):
-        harness.fail(health, times=1)
+        harness.fail(health, count=1)
         if health.status is HealthStatus.EJECTED:
             break
         harness.outliers.record_success(health, harness.now, late=False)
-        harness.fail(health, times=1)
+        harness.fail(health, count=1)
     assert health.status is HealthStatus.EJECTED
 
 
-def test_late_answers_eject_in_the_end_and_failures_are_no_quick_answers() -> None:
+def test_late_responses_eject_eventually_and_failures_do_not_count_as_fast_responses() -> None:
     harness = DetectorHarness(12)
     health = harness.endpoints[0]
     for _ in range(20):
         harness.succeed(health)
         harness.outliers.record_success(health, harness.now, late=True)
     assert health.status is HealthStatus.EJECTED
-    play = Play(WIDE)
+    play = Play(UNLIMITED)
     [send] = sends(play.ask())
     endpoint = play.gateway.cluster.endpoints.by_id[send.endpoint_id]
-    pace, wait, limit = endpoint.relative_latency, endpoint.latency_ratio, endpoint.concurrency_limit
+    before = (endpoint.relative_latency, endpoint.latency_ratio, endpoint.concurrency_limit)
     play.end(send, ERROR, after=0.001, request_finished=True)
-    assert (endpoint.relative_latency, endpoint.latency_ratio, endpoint.concurrency_limit) == (pace, wait, limit)
+    assert (endpoint.relative_latency, endpoint.latency_ratio, endpoint.concurrency_limit) == before
 
 
-def test_instant_errors_draw_no_traffic_though_they_look_idle() -> None:
-    play = Play(WIDE, (Endpoint(f"b{n}") for n in range(12)))
+def test_an_endpoint_with_instant_errors_attracts_no_traffic_though_it_looks_idle() -> None:
+    play = Play(UNLIMITED, (Endpoint(f"b{n}") for n in range(12)))
     sent = {True: 0, False: 0}
     for count in range(600):
         for send in sends(play.ask(0.02)):
@@ -150,9 +160,9 @@
     assert sent[True] < 0.02 * sent[False]
 
 
-@pytest.mark.parametrize("good_first", [0, 8])
-def test_slow_on_one_in_ten_is_not_ejected_and_slow_only_at_first_is_forgotten(good_first: int) -> None:
-    harness = DetectorHarness(12, good=good_first)
+@pytest.mark.parametrize("initial_successes", [0, 8])
+def test_one_late_response_in_ten_does_not_eject_and_an_early_one_decays(initial_successes: int) -> None:
+    harness = DetectorHarness(12, initial_successes=initial_successes)
     health = harness.endpoints[0]
     for count in range(100):
         harness.succeed(health)
@@ -166,8 +176,8 @@
     assert first.failure_weight < 0.1
 
 
-def test_evidence_ages() -> None:
-    harness = DetectorHarness(12, good=1)
+def test_evidence_decays_with_time() -> None:
+    harness = DetectorHarness(12, initial_successes=1)
     health = harness.endpoints[0]
     harness.fail(health)
     harness.now += 200.0
@@ -177,7 +187,7 @@
     assert health.status is not HealthStatus.EJECTED and health.failure_weight < 1.1
 
 
-def test_being_rejected_counts_from_the_second_time_in_a_row() -> None:
+def test_rejections_count_from_the_second_consecutive_one() -> None:
     harness = DetectorHarness(12)
     health = harness.endpoints[0]
     for outcome in (Outcome.REJECTED, Outcome.OK, Outcome.REJECTED):
@@ -190,40 +200,41 @@
     assert health.avoided(harness.now, 0) and not health.avoided(
         harness.now + PAUSE_RATIO * harness.longest_objective, 0
     )
-    harness.fail(health, Outcome.REJECTED, times=6)
+    harness.fail(health, Outcome.REJECTED, count=6)
     assert health.status is HealthStatus.EJECTED and health.reason.startswith("turned away")
 
 
-def test_a_silent_endpoint_is_found_though_its_attempts_are_overtaken_by_their_hedges() -> None:
-    day = Day(10, silent, seed=1, end=20.0, length=20.0, rate=10.0)
-    report = day.play()
-    assert len(report.eject) == len(day.began) == 20  # two silent ones at each of ten gateways
-    assert report.wrong == 0
-    reasons = {reason for g in day.gateways for reason in g.cluster.outliers.ejections_by_reason}
+def test_a_silent_endpoint_is_ejected_though_successful_hedges_cancel_its_attempts() -> None:
+    scenario = FleetScenario(10, silent, seed=1, end=20.0, length=20.0, rate=10.0)
+    report = scenario.run()
+    # There are two silent endpoints at each of ten gateways.
+    assert len(report.ejection_delays) == len(scenario.first_attempt_at) == 20
+    assert report.wrong_ejections == 0
+    reasons = {reason for g in scenario.gateways for reason in g.cluster.outliers.ejections_by_reason}
     assert reasons <= {"overtaken", "timed out"}
 
 
-def test_a_client_that_waits_only_a_moment_tells_nothing_of_the_endpoint() -> None:
-    play = Play(WIDE)
+def test_timeouts_of_clients_that_hardly_wait_are_no_evidence() -> None:
+    play = Play(UNLIMITED)
     for _ in range(30):
         for send in sends(play.ask(time_left=0.1)):
             play.end(send, TIMEOUT, after=0.1, request_finished=True)
     assert all(s.health.failure_weight == 0.0 for s in play.gateway.cluster.endpoints.by_id.values())
 
 
-# What does not
+# Failures that eject no endpoint
 
 
 @pytest.mark.parametrize("outcome", [ERROR, TIMEOUT, Outcome.RESET, REFUSED, Outcome.MALFORMED])
 @pytest.mark.parametrize("count", [2, 3, 12, 200])
-def test_when_all_fail_together_none_is_ejected_and_none_after(count: int, outcome: Outcome) -> None:
+def test_no_endpoint_is_ejected_during_or_after_a_failure_of_all(count: int, outcome: Outcome) -> None:
     harness, rng = DetectorHarness(count), random.Random(2)
     for _ in range(30):
         harness.now += 0.1
         for health in rng.sample(harness.endpoints, count):
             harness.fail(health, outcome, silent=True)
             assert harness.ejected() == 0
-    for _ in range(20):  # the fault is over: some are heard from before others
+    for _ in range(20):  # the failure is over: some endpoints respond before others
         for health in harness.endpoints[: max(1, count // 2)]:
             harness.outliers.record_success(health, harness.now, late=False)
         harness.now += 0.1
@@ -232,7 +243,7 @@
     assert harness.ejected() == 0
 
 
-def test_all_slow_together_ejects_none() -> None:
+def test_no_endpoint_is_ejected_while_all_are_slow() -> None:
     harness = DetectorHarness(12)
     for _ in range(40):
         harness.now += 0.1
@@ -241,61 +252,63 @@
     assert harness.ejected() == 0
 
 
-def test_half_really_bad_stay_out_and_the_rest_are_not_pushed_over() -> None:
+def test_an_unhealthy_half_is_avoided_and_the_other_half_is_not_overloaded() -> None:
     fleet = [Endpoint(f"b{n}") for n in range(12)]
-    play = Play(WIDE, fleet)
-    bad = {f"b{n}" for n in range(6)}
+    play = Play(UNLIMITED, fleet)
+    unhealthy_ids = {f"b{n}" for n in range(6)}
     sent = dict.fromkeys((b.id for b in fleet), 0)
     for count in range(900):
         for send in sends(play.ask(0.02)):
             sent[send.endpoint_id] += count > 300
-            if send.endpoint_id in bad:
+            if send.endpoint_id in unhealthy_ids:
                 play.end(send, ERROR, after=0.001)
             else:
                 play.end(send, after=0.03)
-        most = max(len(s.in_flight) / s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values())
-        assert most <= 1.0
-    assert sum(sent[b] for b in bad) < 0.05 * sum(sent.values())
+        max_utilization = max(
+            len(s.in_flight) / s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values()
+        )
+        assert max_utilization <= 1.0
+    assert sum(sent[b] for b in unhealthy_ids) < 0.05 * sum(sent.values())
     assert not any(
         play.gateway.cluster.endpoints.by_id[b.id].health.status is HealthStatus.EJECTED
         for b in fleet
-        if b.id not in bad
+        if b.id not in unhealthy_ids
     )
 
 
 def test_no_more_than_half_are_ejected() -> None:
     harness = DetectorHarness(8)
-    for health in harness.endpoints:  # one after the other, each while the rest looks well
+    for health in harness.endpoints:  # one after the other, each while the others look healthy
         for _ in range(8):
             harness.fail(health)
             harness.succeed(*(o for o in harness.endpoints if o.status is HealthStatus.EJECTED or o is health))
     assert harness.ejected() == 4
 
 
-def test_with_one_endpoint_left_it_is_never_ejected_and_with_two_the_bad_one_is() -> None:
+def test_a_single_endpoint_is_never_ejected_and_the_unhealthy_one_of_two_is() -> None:
     harness = DetectorHarness(1)
-    harness.fail(harness.endpoints[0], times=30)
+    harness.fail(harness.endpoints[0], count=30)
     assert harness.states() == [HealthStatus.HEALTHY]
     harness = DetectorHarness(2)
-    harness.fail(harness.endpoints[0], times=5)
+    harness.fail(harness.endpoints[0], count=5)
     assert harness.states() == [HealthStatus.EJECTED, HealthStatus.HEALTHY]
-    play = Play(WIDE, FLEET[:1])
+    play = Play(UNLIMITED, FLEET[:1])
     for _ in range(10):
         for send in sends(play.ask(1.0)):
             play.end(send, ERROR, after=0.001, request_finished=True)
-    assert sends(play.ask(1.0))  # it is all there is
+    assert sends(play.ask(1.0))  # there is no other endpoint
 
 
-def test_the_last_two_serve_on_when_both_fail() -> None:
-    play = Play(WIDE, FLEET[:2])
+def test_two_endpoints_that_both_fail_still_get_requests() -> None:
+    play = Play(UNLIMITED, FLEET[:2])
     for _ in range(40):
         for send in sends(play.ask(0.5)):
             play.end(send, ERROR, after=0.01, request_finished=True)
     assert len({send.endpoint_id for _ in range(10) for send in sends(play.ask(0.5))}) == 2
 
 
-def test_what_failed_for_want_of_a_descriptor_here_tells_nothing() -> None:
-    play = Play(WIDE)
+def test_local_failures_are_no_evidence() -> None:
+    play = Play(UNLIMITED)
     for _ in range(10):
         for send in sends(play.ask(0.1)):
             play.end(send, REFUSED, after=0.0, local_failure=True, request_finished=True)
@@ -305,66 +318,68 @@
     )
 
 
-def test_a_starved_process_holds_no_silence_against_endpoints() -> None:
-    play = Play(replace(WIDE, hedging_allowed=True))
+def test_a_starved_process_ignores_missing_responses() -> None:
+    play = Play(replace(UNLIMITED, hedging_allowed=True))
     [send] = sends(play.ask())
     play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective + 0.5, TimerFired(TimerToken.HEDGE))  # half a second late
     play.end(send, TIMEOUT, after=0.2, request_finished=True)
     health = play.gateway.cluster.endpoints.by_id[send.endpoint_id].health
     assert health.failure_weight == 0.0
     assert any("starved" in a.text for a in play.actions if isinstance(a, LogMessage))
-    play.gateway.cluster.outliers.record_failure(health, play.now, ERROR)  # an error is an error all the same
+    play.gateway.cluster.outliers.record_failure(
+        health, play.now, ERROR
+    )  # an error counts although the process is starved
     assert health.failure_weight == 1.0
     play.gateway.cluster.outliers.record_failure(health, play.now + 5.0, TIMEOUT)
     assert health.failure_weight > 1.5
 
 
-def test_a_time_out_that_comes_late_itself_tells_of_starvation() -> None:
-    play = Play(WIDE)
+def test_a_timeout_that_is_reported_late_indicates_starvation() -> None:
+    play = Play(UNLIMITED)
     [send] = sends(play.ask())
-    play.end(send, TIMEOUT, after=4.5, request_finished=True)  # its time was up after 4 s
+    play.end(send, TIMEOUT, after=4.5, request_finished=True)  # the deadline was after 4 s
     assert play.gateway.cluster.endpoints.by_id[send.endpoint_id].health.failure_weight == 0.0
 
 
-# Return
+# Readmission
 
 
-def test_a_probation_lets_one_through_then_more_and_three_good_answers_end_it() -> None:
+def test_a_probation_admits_more_after_each_success_and_ends_after_three() -> None:
     harness = DetectorHarness(12)
     health = harness.endpoints[0]
     harness.eject(health)
     harness.start_probation(health)
-    for out in range(PROBATION_SUCCESSES):
-        assert [health.avoided(harness.now, n) for n in (0, out, out + 1)] == [False, False, True]
+    for successes in range(PROBATION_SUCCESSES):
+        assert [health.avoided(harness.now, n) for n in (0, successes, successes + 1)] == [False, False, True]
         assert health.status is HealthStatus.PROBATION
         harness.outliers.record_success(health, harness.now, late=False)
     assert harness.states()[0] is HealthStatus.HEALTHY and not health.avoided(harness.now, 9)
 
 
 def test_an_endpoint_on_probation_starts_with_one_request_and_a_small_limit() -> None:
-    play = Play(WIDE, FLEET[:2])
+    play = Play(UNLIMITED, FLEET[:2])
     outliers, endpoint = play.gateway.cluster.outliers, play.gateway.cluster.endpoints.by_id["b0"]
     endpoint.concurrency_limit = 50.0
     for _ in range(6):
         outliers.record_failure(endpoint.health, play.now, ERROR)
     play.now = endpoint.health.ejected_until + 0.1
     endpoint.health.next_health_check_at = float("inf")
-    out: list[StartAttempt] = []
+    unanswered: list[StartAttempt] = []
     for _ in range(40):
         for send in sends(play.ask(0.01)):
             if send.endpoint_id == "b0":
-                out.append(send)
+                unanswered.append(send)
             else:
                 play.end(send, after=0.0)
     assert (
-        len(out) == 1
+        len(unanswered) == 1
         and endpoint.health.status is HealthStatus.PROBATION
         and endpoint.concurrency_limit == PROBATION_SUCCESSES
     )
 
 
-def test_a_probation_is_no_request_that_cannot_be_repeated() -> None:
-    play = Play(WIDE, FLEET[:2])
+def test_a_probation_gets_no_request_that_is_not_idempotent() -> None:
+    play = Play(UNLIMITED, FLEET[:2])
     outliers, endpoint = play.gateway.cluster.outliers, play.gateway.cluster.endpoints.by_id["b0"]
     for _ in range(5):
         outliers.record_failure(endpoint.health, play.now, ERROR)
@@ -385,10 +400,11 @@
 
 def test_one_failure_on_probation_ejects_again_for_longer_up_to_a_limit() -> None:
     harness = DetectorHarness(12)
-    health, pauses = harness.endpoints[0], []
+    health = harness.endpoints[0]
+    durations = []
     harness.eject(health)
     for _ in range(7):
-        pauses.append(health.ejection_duration)
+        durations.append(health.ejection_duration)
         assert (
             (1 - EJECTION_JITTER) * health.ejection_duration
             <= health.ejected_until - harness.now
@@ -398,18 +414,19 @@
         harness.succeed(health)
         harness.fail(health)
         assert health.status is HealthStatus.EJECTED
-    assert pauses == [0.5, 1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
-    assert pauses[-1] == PAUSE_RATIO * 2**MAX_RELAPSES
+    assert durations == [0.5, 1.0, 2.0, 4.0, 8.0, 8.0, 8.0]
+    assert durations[-1] == PAUSE_RATIO * 2**MAX_RELAPSES
 
 
-def test_flapping_with_a_period_near_the_pause_costs_more_each_time_and_health_forgives() -> None:
+def test_flapping_counts_relapses_until_the_endpoint_stays_healthy_for_long_enough() -> None:
     harness = DetectorHarness(12)
-    health, relapses = harness.endpoints[0], []
+    health = harness.endpoints[0]
+    relapses = []
     for _ in range(6):
         harness.eject(health)
         relapses.append(health.relapses)
         harness.start_probation(health)
-        for _ in range(PROBATION_SUCCESSES):  # it is well for a moment, and fails as soon as it is trusted
+        for _ in range(PROBATION_SUCCESSES):  # it recovers for a moment, and fails as soon as it is healthy
             harness.succeed()
         assert health.status is HealthStatus.HEALTHY
     assert relapses == [0, 1, 2, 3, 4, 4]
@@ -419,7 +436,7 @@
     assert health.relapses == 0
 
 
-def test_pauses_are_drawn_so_that_gateways_do_not_act_in_step() -> None:
+def test_ejections_are_jittered_so_that_gateways_do_not_readmit_at_the_same_time() -> None:
     ends = set()
     for seed in range(20):
         outliers = OutlierDetector(SETTINGS, 1.0, random.Random(seed))
@@ -430,7 +447,7 @@
     assert len(ends) > 15
 
 
-def test_good_answers_that_were_out_when_it_was_ejected_bring_it_to_probation() -> None:
+def test_successes_of_attempts_in_flight_at_the_ejection_start_a_probation() -> None:
     harness = DetectorHarness(12)
     health = harness.endpoints[0]
     harness.eject(health)
@@ -439,8 +456,8 @@
     assert health.status in (HealthStatus.PROBATION, HealthStatus.HEALTHY)
 
 
-def test_when_the_pause_is_shorter_than_the_time_between_requests_it_is_stretched() -> None:
-    harness = DetectorHarness(12, good=0)
+def test_an_ejection_is_longer_than_the_mean_interval_between_outcomes() -> None:
+    harness = DetectorHarness(12, initial_successes=0)
     for _ in range(300):
         harness.succeed(after=1.5)
     health = harness.endpoints[0]
@@ -448,13 +465,13 @@
     assert health.ejection_duration == pytest.approx(3.0, rel=0.1)
 
 
-# Probes
+# Health checks
 
-PROBING = replace(SETTINGS, health_checks_allowed=True, health_check_cost=0.01, gateway_count=4)
+WITH_HEALTH_CHECKS = replace(SETTINGS, health_checks_allowed=True, health_check_cost=0.01, gateway_count=4)
 
 
-def due(harness: DetectorHarness) -> EndpointHealth:
-    """An ejected server whose pause is over, and this gateway's time to probe it has come."""
+def start_health_check(harness: DetectorHarness) -> EndpointHealth:
+    """Eject the first endpoint, and use it when its ejection is over and a health check is due, if they are allowed."""
     health = harness.endpoints[0]
     harness.eject(health)
     harness.now = max(health.ejected_until, health.next_health_check_at) + 0.01
@@ -463,35 +480,37 @@
     return health
 
 
-def test_a_health_check_comes_before_a_probation_and_a_good_one_lets_one_request_through() -> None:
-    harness = DetectorHarness(12, PROBING)
-    health = due(harness)
+def test_a_successful_health_check_starts_a_probation_with_one_request() -> None:
+    harness = DetectorHarness(12, WITH_HEALTH_CHECKS)
+    health = start_health_check(harness)
     assert (
         harness.outliers.pending_actions == [StartHealthCheck("s0", 0.5)]
         and harness.states()[0] is HealthStatus.EJECTED
     )
-    harness.outliers.consider_probation(health, harness.now)  # it is out: nothing more
+    harness.outliers.consider_probation(health, harness.now)  # the check is running: no second one
     assert harness.outliers.pending_actions == [StartHealthCheck("s0", 0.5)] and health.avoided(harness.now, 0)
     harness.outliers.health_check_ended(harness.now, HealthCheckEnded("s0", Outcome.OK))
     assert health.status is HealthStatus.PROBATION
-    assert not health.avoided(harness.now, 0) and health.avoided(harness.now, 1)  # no proof: one request
+    assert not health.avoided(harness.now, 0) and health.avoided(
+        harness.now, 1
+    )  # a health check is no proof, so only one request
 
 
-def test_a_failed_health_check_doubles_the_pause_and_costs_no_request() -> None:
-    harness = DetectorHarness(12, PROBING)
-    health = due(harness)
-    pause = health.ejection_duration
+def test_a_failed_health_check_doubles_the_ejection_and_costs_no_request() -> None:
+    harness = DetectorHarness(12, WITH_HEALTH_CHECKS)
+    health = start_health_check(harness)
+    duration = health.ejection_duration
     harness.outliers.health_check_ended(harness.now, HealthCheckEnded("s0", REFUSED))
     assert (
         health.status is HealthStatus.EJECTED
-        and health.ejection_duration == 2 * pause
+        and health.ejection_duration == 2 * duration
         and health.ejected_until > harness.now
     )
 
 
-def test_correct_to_health_checks_but_failing_requests_still_costs_more_each_time() -> None:
-    harness = DetectorHarness(12, PROBING)
-    health = due(harness)
+def test_relapses_count_though_health_checks_succeed() -> None:
+    harness = DetectorHarness(12, WITH_HEALTH_CHECKS)
+    health = start_health_check(harness)
     for count in range(3):
         harness.outliers.health_check_ended(harness.now, HealthCheckEnded("s0", Outcome.OK))
         harness.succeed(health)
@@ -501,9 +520,9 @@
         harness.outliers.consider_probation(health, harness.now)
 
 
-def test_an_answer_that_never_comes_does_not_keep_an_endpoint_out() -> None:
-    harness = DetectorHarness(12, PROBING)
-    health = due(harness)
+def test_a_missing_health_check_result_does_not_keep_an_endpoint_ejected() -> None:
+    harness = DetectorHarness(12, WITH_HEALTH_CHECKS)
+    health = start_health_check(harness)
     harness.now += harness.longest_objective + 0.01
     harness.outliers.consider_probation(health, harness.now)
     assert health.status is HealthStatus.PROBATION
@@ -511,19 +530,19 @@
     assert health.status is HealthStatus.PROBATION
 
 
-def test_where_health_checks_are_forbidden_and_tell_nothing_none_is_sent() -> None:
-    harness = DetectorHarness(12, replace(PROBING, health_checks_allowed=False))
-    health = due(harness)
+def test_no_health_check_is_sent_where_they_are_not_allowed() -> None:
+    harness = DetectorHarness(12, replace(WITH_HEALTH_CHECKS, health_checks_allowed=False))
+    health = start_health_check(harness)
     assert health.status is HealthStatus.PROBATION
     assert not any(isinstance(a, StartHealthCheck) for a in harness.outliers.pending_actions)
 
 
 @pytest.mark.parametrize("price", [0.0, 0.01, 0.5])
-def test_the_health_checks_of_one_endpoint_do_not_grow_with_the_gateways(price: float) -> None:
-    """Whatever ejects it again and again, at many gateways or at few; a tenth and a few more for chance."""
+def test_the_number_of_health_checks_does_not_grow_with_the_number_of_gateways(price: float) -> None:
+    """The endpoint is ejected repeatedly, at 100 or 400 gateways; the tolerance for chance is 10 % plus 10 checks."""
     counts = []
     for gateways in (100, 400):
-        settings = replace(PROBING, gateway_count=gateways, health_check_cost=price)
+        settings = replace(WITH_HEALTH_CHECKS, gateway_count=gateways, health_check_cost=price)
         total = 0
         for seed in range(gateways):
             outliers = OutlierDetector(settings, 1.0, random.Random(seed))
@@ -539,13 +558,13 @@
                 now += 0.3
             total += outliers.health_checks.started
         counts.append(total)
-    most = min(4.0, 0.02 / price) if price else 4.0
-    assert all(0 < count <= 1.1 * most * 60.0 + 10 for count in counts)
+    max_rate = min(4.0, 0.02 / price) if price else 4.0
+    assert all(0 < count <= 1.1 * max_rate * 60.0 + 10 for count in counts)
     assert counts[1] <= 1.1 * counts[0] + 10
 
 
-def test_nothing_is_probed_without_a_request_that_has_a_choice() -> None:
-    play = Play(replace(WIDE, health_checks_allowed=True, health_check_cost=0.01))
+def test_no_health_check_is_sent_before_a_request_could_use_the_endpoint() -> None:
+    play = Play(replace(UNLIMITED, health_checks_allowed=True, health_check_cost=0.01))
     endpoint = play.gateway.cluster.endpoints.by_id["b0"]
     for _ in range(5):
         play.gateway.cluster.outliers.record_failure(endpoint.health, play.now, ERROR)
@@ -557,15 +576,15 @@
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
-def test_drained_or_gone_while_on_probation_or_under_a_health_check(readiness: Readiness) -> None:
-    for trial in (False, True):
-        play = Play(replace(WIDE, health_checks_allowed=True, health_check_cost=0.01))
+def test_an_endpoint_may_drain_or_be_removed_on_probation_or_during_a_health_check(readiness: Readiness) -> None:
+    for on_probation in (False, True):
+        play = Play(replace(UNLIMITED, health_checks_allowed=True, health_check_cost=0.01))
         outliers, health = play.gateway.cluster.outliers, play.gateway.cluster.endpoints.by_id["b0"].health
         for _ in range(5):
             outliers.record_failure(health, play.now, ERROR)
         play.ask(60.0)
         assert play.actions[-1] == StartHealthCheck("b0", 0.5)
-        if trial:
+        if on_probation:
             play.at(0.0, HealthCheckEnded("b0", Outcome.OK))
         play.at(0.0, EndpointsChanged(EndpointListKind.UPDATE, (replace(FLEET[0], readiness=readiness),)))
         assert play.at(0.0, HealthCheckEnded("b0", Outcome.OK)) == []
@@ -595,8 +614,8 @@
     return health
 
 
-def test_one_that_started_since_is_another_and_an_unchanged_entry_washes_nothing_clean() -> None:
-    play = Play(WIDE)
+def test_a_new_incarnation_starts_healthy_and_an_unchanged_entry_keeps_its_health() -> None:
+    play = Play(UNLIMITED)
     ejected_b0(play)
     relist(play, *FLEET)
     assert state_of(play, "b0") is HealthStatus.EJECTED
@@ -604,12 +623,12 @@
     assert state_of(play, "b0") is HealthStatus.HEALTHY
     assert play.gateway.cluster.outliers.ejected_count == 0
     ejected_b0(play)
-    relist(play, *FLEET)  # "long ago" now: the same process
+    relist(play, *FLEET)  # the list gives no start time now, so this is no newer incarnation
     assert state_of(play, "b0") is HealthStatus.EJECTED
 
 
-def test_one_that_leaves_the_list_and_returns_unchanged_is_no_better_for_it() -> None:
-    play = Play(WIDE)
+def test_an_endpoint_that_is_removed_and_listed_again_keeps_its_health_for_a_while() -> None:
+    play = Play(UNLIMITED)
     ejected_b0(play)
     relist(play, *FLEET[1:])
     assert play.gateway.cluster.outliers.ejected_count == 0
@@ -622,27 +641,27 @@
     assert state_of(play, "b0") is HealthStatus.HEALTHY
 
 
-def test_a_drain_that_is_taken_back_washes_nothing_clean() -> None:
-    play = Play(WIDE)
+def test_a_cancelled_drain_keeps_the_health() -> None:
+    play = Play(UNLIMITED)
     ejected_b0(play)
     relist(play, replace(FLEET[0], readiness=Readiness.DRAINING), *FLEET[1:])
     relist(play, *FLEET)
     assert state_of(play, "b0") is HealthStatus.EJECTED
 
 
-def test_a_replacement_with_a_new_id_is_not_judged_by_the_one_before() -> None:
-    play = Play(WIDE)
+def test_a_replacement_with_a_new_id_starts_healthy() -> None:
+    play = Play(UNLIMITED)
     ejected_b0(play)
     relist(play, replace(FLEET[0], id="b9", started_at=play.now), *FLEET[1:])
     assert state_of(play, "b9") is HealthStatus.HEALTHY
 
 
-def test_what_was_sent_before_a_restart_tells_nothing_of_the_new_process() -> None:
-    play = Play(WIDE, FLEET[:2])
-    held = [s for _ in range(2) for s in sends(play.ask())]
+def test_outcomes_of_attempts_sent_before_a_restart_are_no_evidence() -> None:
+    play = Play(UNLIMITED, FLEET[:2])
+    in_flight = [s for _ in range(2) for s in sends(play.ask())]
     play.now += 0.1
     relist(play, *(replace(b, started_at=play.now + 0.5) for b in FLEET[:2]))
-    for send in held:
+    for send in in_flight:
         play.end(send, Outcome.RESET, after=0.1, request_finished=True)
     assert all(s.health.failure_weight == 0.0 for s in play.gateway.cluster.endpoints.by_id.values())
 
@@ -655,34 +674,34 @@
     assert len(outliers.removed) == MAX_REMOVED and not outliers.endpoints
 
 
-def test_a_zone_lost_and_back_warming_returns_within_the_guard() -> None:
+def test_a_zone_that_returns_cold_gets_requests_within_the_slow_start_budget() -> None:
     fleet = tuple(Endpoint(f"b{n}", zone="abc"[n % 3]) for n in range(12))
-    play = Play(replace(WIDE, gateway_count=50), fleet)
-    lost = {b.id for b in fleet if b.zone == "a"}
+    play = Play(replace(UNLIMITED, gateway_count=50), fleet)
+    lost_ids = {b.id for b in fleet if b.zone == "a"}
 
-    def stretch(rounds: int, down: bool) -> dict[str, int]:
-        got = dict.fromkeys(lost, 0)
-        for _ in range(rounds):
+    def send_requests(request_count: int, down: bool) -> dict[str, int]:
+        attempt_counts = dict.fromkeys(lost_ids, 0)
+        for _ in range(request_count):
             for send in sends(play.ask(0.02)):
-                if send.endpoint_id in lost:
-                    got[send.endpoint_id] += 1
+                if send.endpoint_id in lost_ids:
+                    attempt_counts[send.endpoint_id] += 1
                     if down:
                         play.end(send, REFUSED, after=0.001)
                         continue
                 play.end(send, after=0.02)
-        return got
+        return attempt_counts
 
-    stretch(300, down=False)
-    assert sum(stretch(250, down=True).values()) < 40
-    relist(play, *(replace(b, started_at=play.now) if b.id in lost else b for b in fleet))
-    states = {play.gateway.cluster.endpoints.by_id[name].health.status for name in lost}
-    assert states == {HealthStatus.HEALTHY}  # other processes: no evidence follows them
-    cold = stretch(50, down=False)
-    assert sum(cold.values()) <= 4 * 4  # but they are cold: each gateway keeps to its part
-    assert sum(stretch(600, down=False).values()) > 0
+    send_requests(300, down=False)
+    assert sum(send_requests(250, down=True).values()) < 40
+    relist(play, *(replace(b, started_at=play.now) if b.id in lost_ids else b for b in fleet))
+    states = {play.gateway.cluster.endpoints.by_id[name].health.status for name in lost_ids}
+    assert states == {HealthStatus.HEALTHY}  # new incarnations have no evidence against them
+    cold = send_requests(50, down=False)
+    assert sum(cold.values()) <= 4 * 4  # they are cold, so each gateway keeps to its budget
+    assert sum(send_requests(600, down=False).values()) > 0
 
 
-# Reports, figures, log
+# Load reports, metrics and logs
 
 
 @pytest.mark.parametrize(
@@ -695,19 +714,19 @@
         {"inflight": 1.0, "util": 0.5, "": float("nan")},
     ],
 )
-def test_a_report_that_makes_no_sense_is_counted_and_changes_nothing(load: dict[str, float]) -> None:
-    plays = [Play(replace(WIDE, load_report_fields=("inflight", "util"))) for _ in range(2)]
+def test_an_invalid_load_report_is_counted_and_changes_nothing(load: dict[str, float]) -> None:
+    plays = [Play(replace(UNLIMITED, load_report_fields=("inflight", "util"))) for _ in range(2)]
     for play, report in zip(plays, ({"inflight": 3.0, "util": 0.5}, load), strict=True):
         [send] = sends(play.ask())
         play.end(send, load_report=report)
-    odd = [play.gateway.cluster.outliers.invalid_load_reports for play in plays]
-    assert odd == [0, 1]
+    invalid_counts = [play.gateway.cluster.outliers.invalid_load_reports for play in plays]
+    assert invalid_counts == [0, 1]
     states = [play.gateway.handover_state(play.now) for play in plays]
     assert states[0] == states[1]
     assert sends(plays[0].ask(0.1)) == sends(plays[1].ask(0.1))
 
 
-def test_each_change_is_told_with_its_reason_and_counted() -> None:
+def test_each_status_change_is_logged_with_its_reason_and_counted() -> None:
     harness = DetectorHarness(12)
     health = harness.endpoints[0]
     harness.eject(health)
@@ -723,43 +742,43 @@
     assert counts["health.healthy"] == 12 and counts["health.ejected"] == 0
 
 
-def test_a_suspect_is_told_and_cleared() -> None:
-    harness = DetectorHarness(12, good=1)
+def test_a_suspicion_is_logged_and_cleared() -> None:
+    harness = DetectorHarness(12, initial_successes=1)
     health = harness.endpoints[0]
     harness.fail(health)
-    assert health.status is HealthStatus.SUSPECT and not health.avoided(harness.now, 5)  # it goes on serving
+    assert health.status is HealthStatus.SUSPECT and not health.avoided(harness.now, 5)  # it still gets requests
     for _ in range(4):
         harness.succeed()
     lines = [a.text for a in harness.outliers.pending_actions if isinstance(a, LogMessage)]
     assert lines == ["health s0: healthy to suspect: error", "health s0: suspect to healthy: good answers"]
 
 
-def test_the_log_is_limited_and_says_what_it_left_out() -> None:
+def test_the_log_rate_is_limited_and_the_number_of_omitted_lines_is_logged() -> None:
     harness = DetectorHarness(200)
     for health in harness.endpoints[:90]:
-        harness.fail(health, times=5)
+        harness.fail(health, count=5)
         harness.succeed(*harness.endpoints[:90], after=0.0)
     lines = [a for a in harness.outliers.pending_actions if isinstance(a, LogMessage)]
     assert len(lines) == LOG_BURST
     harness.now += 5.0
-    harness.fail(harness.endpoints[95], times=5)
+    harness.fail(harness.endpoints[95], count=5)
     assert "lines suppressed)" in next(
         a.text for a in harness.outliers.pending_actions[len(lines) :] if isinstance(a, LogMessage)
     )
 
 
-def test_states_and_the_figure_of_avoided_endpoints_agree() -> None:
-    play = Play(WIDE)
+def test_the_count_of_avoided_endpoints_agrees_with_the_metrics() -> None:
+    play = Play(UNLIMITED)
     ejected_b0(play)
     assert play.gateway.cluster.load_balancer.avoided_count(play.now) == play.gateway.health()["health.ejected"] == 1
     assert play.gateway.cluster.endpoints.by_id["b0"].health.unhealthy_log_odds(0.01) >= EJECTION_LOG_ODDS
 
 
-@pytest.mark.parametrize("outcome", FOUND)
-def test_an_ejection_that_doubts_the_connections_gives_the_idle_ones_back(outcome: Outcome) -> None:
+@pytest.mark.parametrize("outcome", FAILURE_OUTCOMES)
+def test_an_ejection_after_a_connection_failure_closes_idle_connections(outcome: Outcome) -> None:
     harness = DetectorHarness(8)
     while harness.endpoints[0].status is not HealthStatus.EJECTED:
         harness.fail(harness.endpoints[0], outcome, silent=outcome is Outcome.CANCELLED)
     closes = [action for action in harness.outliers.pending_actions if isinstance(action, CloseIdleConnections)]
-    # A server that answers, however badly, keeps them: a handshake costs both sides.
+    # An endpoint that responds, even with an error, keeps its connections, because a handshake costs both sides.
     assert closes == ([] if outcome in (ERROR, Outcome.MALFORMED) else [CloseIdleConnections("s0")])
