--- a/tests/quota_day.py
+++ b/tests/quota_day.py
@@ -1,9 +1,9 @@
-"""A model of a calm day: customers, some of which ask for more than their quotas, before many gateways.
+"""A workload model without faults: customers send requests to many gateways, some of them more than their quotas allow.
 
-All draws are seeded and time is simulated.  The decisions are those of real gateways; servers always answer, and there
-are so many of them that no gateway sheds load.  `draw_day` draws the requests, `play_fleet` gives them to gateways.
-Beside these stand two references: one gateway that sees every request, whose decisions define what is inside the
-quotas, and one policy that sees the state of the quotas late.
+All draws are seeded and time is simulated.  The decisions are those of real gateways; servers always respond, and there
+are so many of them that no gateway sheds load.  `draw_workload` draws the requests, and `run_gateways` sends them to
+the gateways.  There are two references for comparison: a single gateway that sees every request, whose decisions define
+which requests are within the quotas, and a policy that sees the state of the quotas with a delay.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
 
 GatewayFactory = Callable[[Settings, int], Gateway]
 
-SEEN_LATE = 0.25  # s after which the late-seeing policy sees a change of a quota's state
-SERVERS = 32  # each gateway lists as many: none is ever short of room
-ROUNDING = 1e-9  # units
-CALM_VARIATION = 0.3  # a calm customer asks up to this part more or less than the mean
-FULL_SHARES = (0.85, 1.05)  # of its rate that a customer near its quota asks
-LEAST_SPREAD = 2  # gateways in a customer's set
-WORK_VARIATION = 0.97  # standard deviation over mean of the units of requests by size
+STATE_DELAY_S = 0.25  # the time after which the delayed policy sees a change of a quota's state
+SERVERS = 32  # the number of endpoints listed at each gateway: enough that none lacks capacity
+ROUNDING_TOLERANCE_UNITS = 1e-9
+CALM_VARIATION = 0.3  # the demand of a calm customer differs from the mean by up to this share
+FULL_USE = (0.85, 1.05)  # the demand of a customer near its quota, as a share of its rate
+MIN_GATEWAYS_PER_CUSTOMER = 2
+UNITS_VARIATION = 0.97  # the standard deviation of the units of a request divided by their mean
 
 
 class Habit(Enum):
-    """How much a customer asks, beside the rate of its plan."""
+    """The demand of a customer relative to the rate of its plan."""
 
     CALM = "calm"
     FULL = "full"
@@ -45,9 +45,15 @@
 
 
 @dataclass(frozen=True)
-class PlanSales:
-    """A plan and those who buy it.  `usual_rate`: units a second that a full customer asks, for a plan without a
-    rate; `spread`: the least and the greatest part of all gateways in a customer's set."""
+class PlanCustomers:
+    """A plan and its customers.
+
+    Attributes:
+        plan: The plan.
+        customers: The number of customers.
+        spread: The smallest and the largest share of all gateways that a customer uses.
+        usual_rate: For a plan without a rate, the demand of a customer near its quota in units per second.
+    """
 
     plan: Plan
     customers: int
@@ -55,14 +61,14 @@
     usual_rate: float = 0.0
 
     @property
-    def asked_rate(self) -> float:
-        """Units a second that a customer asks that just uses its quota."""
+    def quota_rate(self) -> float:
+        """The units per second of a customer that uses exactly its quota."""
         return self.usual_rate or self.plan.rate
 
 
 @dataclass(frozen=True)
 class ClassShare:
-    """A class of requests, and its share of them."""
+    """A class of requests, and its share of all requests."""
 
     request_class: RequestClass
     share: float = 1.0
@@ -72,50 +78,86 @@
 
 
 @dataclass(frozen=True)
-class DaySettings:
-    """What a day is drawn from.  Times are in seconds; a share is of all customers, or of all requests."""
+class WorkloadSettings:
+    """The parameters of a workload.  Times are in seconds; a share is a share of all customers unless noted otherwise.
+
+    Attributes:
+        gateways: The number of gateways.
+        seconds: The duration of the workload.
+        plans: The plans and their customers.
+        classes: The classes of requests.
+        mean_units: The mean units of a request; if 1, each request has one unit.
+        max_units: The maximum units of a request.
+        mean_answer_time: The mean time that a server takes for a request.
+        calm_use: The mean demand of a calm customer, as a share of the usual rate.
+        full_share: The share of customers near their quotas.
+        heavy_share: The share of customers whose demand is always above their quotas.
+        spiky_share: The share of customers with spikes above their quotas.
+        heavy_use: The range of the demand of a heavy customer, as a multiple of the usual rate.
+        spike_use: The range of the demand during a spike, as a multiple of the usual rate.
+        spike_lengths: The range of the duration of a spike.
+        spike_pause: The mean time between two spikes of a customer.
+        weight_sigma: The sigma of the log-normal weights of the gateways that a customer uses.
+        weights_duration: The mean time until the weights of a customer change.
+        burst_factor: The multiple of their demand that all customers have during the burst.
+        burst_at: The start of the burst.
+        burst_length: The duration of the burst.
+        hot_factor: The additional demand of the hot customer, as a share of the demand of all customers.
+        hot_at: The start of the additional demand.
+        hot_length: The duration of the additional demand.
+    """
 
     gateways: int
     seconds: float
-    plans: tuple[PlanSales, ...]
+    plans: tuple[PlanCustomers, ...]
     classes: tuple[ClassShare, ...] = (ClassShare(READ),)
-    mean_units: float = 1.0  # above 1, requests count by size
-    most_units: int = 1
+    mean_units: float = 1.0
+    max_units: int = 1
     mean_answer_time: float = 0.15
-    calm_use: float = 0.3  # of the usual rate, by a calm customer
+    calm_use: float = 0.3
     full_share: float = 0.3
     heavy_share: float = 0.1
     spiky_share: float = 0.2
-    heavy_use: tuple[float, float] = (1.9, 4.1)  # times the usual rate
-    spike_use: tuple[float, float] = (2.0, 8.0)  # times the usual rate
+    heavy_use: tuple[float, float] = (1.9, 4.1)
+    spike_use: tuple[float, float] = (2.0, 8.0)
     spike_lengths: tuple[float, float] = (0.5, 4.0)
-    spike_pause: float = 15.0  # mean time between two spikes of a customer
-    weight_sigma: float = 1.5  # of the log-normal weights of gateways within a set
-    weights_hold: float = 17.0  # mean time until a customer's weights change
+    spike_pause: float = 15.0
+    weight_sigma: float = 1.5
+    weights_duration: float = 17.0
     burst_factor: float = 1.5
     burst_at: float = 8.0
     burst_length: float = 5.0
-    hot_factor: float = 0.2  # what the hot customer asks, over what all others ask
+    hot_factor: float = 0.2
     hot_at: float = 7.0
     hot_length: float = 7.0
 
 
 @dataclass(eq=False, slots=True)
 class Customer:
-    """A customer: its plan, how much it asks, and its set of gateways."""
+    """A customer.
+
+    Attributes:
+        name: The name of the customer.
+        group: The plan and all its customers.
+        habit: The demand relative to the plan.
+        requests_per_second: The request rate outside spikes.
+        spike_requests_per_second: The request rate during spikes.
+        gateway_count: The number of gateways that the customer uses.
+        first_gateway: The index of the first of these consecutive gateways.
+    """
 
     name: str
-    sales: PlanSales
+    group: PlanCustomers
     habit: Habit
     requests_per_second: float
     spike_requests_per_second: float
-    spread: int
-    first: int
+    gateway_count: int
+    first_gateway: int
 
 
 @dataclass(eq=False, slots=True)
 class DrawnRequest:
-    """A request as a client sends it, and how long a server takes for it."""
+    """A request as a client sends it, and the time in seconds that a server takes for it."""
 
     at: float
     gateway: int
@@ -125,103 +167,122 @@
     answer_time: float
 
     @property
-    def worth(self) -> float:
-        """What an answer earns."""
-        return self.request_class.priority_weight * self.customer.sales.plan.weight_factor * self.units
+    def value(self) -> float:
+        """The value of an answer to the request."""
+        return self.request_class.priority_weight * self.customer.group.plan.weight_factor * self.units
 
     @property
-    def cost_beyond(self) -> float:
-        """What it costs to send this request on beyond its quota."""
-        return self.customer.sales.plan.over_quota_cost * self.worth
+    def over_quota_cost(self) -> float:
+        """The cost of serving the request over its quota."""
+        return self.customer.group.plan.over_quota_cost * self.value
 
 
 @dataclass(frozen=True)
-class Day:
-    """A drawn day, and the settings that gateways get on it.  `asked`: worth asked inside the quotas, by plan."""
+class Workload:
+    """A drawn workload.
+
+    Attributes:
+        settings: The parameters of the workload.
+        requests: The requests in order of time.
+        seed: The seed of the workload and of the gateways.
+        value_within_quota: The value of the requests within the quotas, by plan.
+    """
 
-    settings: DaySettings
+    settings: WorkloadSettings
     requests: list[DrawnRequest]
     seed: int
-    asked: dict[str, float] = field(default_factory=dict)
+    value_within_quota: dict[str, float] = field(default_factory=dict)
 
     def gateway_settings(self, number: int) -> Settings:
-        """The settings of one gateway."""
+        """Return the settings of one gateway."""
         return Settings(
             classes=tuple(one.request_class for one in self.settings.classes),
             plans=tuple(one.plan for one in self.settings.plans),
             gateway_index=number,
             gateway_count=self.settings.gateways,
-            max_request_units=self.settings.most_units,
+            max_request_units=self.settings.max_units,
         )
 
 
 @dataclass
-class PlanFigures:
-    """Worth of one plan's requests: `asked` inside the quotas, `served` inside them, sent on `beyond` them.  `cost`
-    is what those beyond cost."""
+class PlanResult:
+    """The results for one plan.
+
+    Attributes:
+        value_within_quota: The value of the requests within the quotas.
+        served_within_quota: The value of the served requests within the quotas.
+        served_over_quota: The value of the served requests over the quotas.
+        over_quota_cost: The cost of the served requests over the quotas.
+    """
 
-    asked: float = 0.0
-    served: float = 0.0
-    beyond: float = 0.0
-    cost: float = 0.0
+    value_within_quota: float = 0.0
+    served_within_quota: float = 0.0
+    served_over_quota: float = 0.0
+    over_quota_cost: float = 0.0
 
     @property
     def served_share(self) -> float:
-        """Of the worth asked inside the quotas."""
-        return self.served / self.asked if self.asked else 1.0
+        """The served share of the value within the quotas."""
+        return self.served_within_quota / self.value_within_quota if self.value_within_quota else 1.0
 
 
 @dataclass
-class Figures:
-    """What one policy made of a day, by plan.  `refusals`: why requests were refused, and how often."""
+class WorkloadResult:
+    """The results of one policy for a workload.
 
-    plans: dict[str, PlanFigures]
-    refusals: Counter[str] = field(default_factory=Counter)
+    Attributes:
+        plans: The results by plan.
+        rejections: The number of rejections by reason.
+    """
+
+    plans: dict[str, PlanResult]
+    rejections: Counter[str] = field(default_factory=Counter)
 
     @property
-    def asked(self) -> float:
-        """Worth asked inside the quotas."""
-        return sum(plan.asked for plan in self.plans.values())
+    def value_within_quota(self) -> float:
+        """The value of the requests within the quotas."""
+        return sum(plan.value_within_quota for plan in self.plans.values())
 
     @property
-    def price(self) -> float:
-        """What requests beyond the quotas cost, over the worth asked inside."""
-        return sum(plan.cost for plan in self.plans.values()) / self.asked
+    def relative_cost(self) -> float:
+        """The cost of the served requests over the quotas, divided by the value of the requests within the quotas."""
+        return sum(plan.over_quota_cost for plan in self.plans.values()) / self.value_within_quota
 
     @property
     def served_share(self) -> float:
-        """Worth served inside the quotas, over the worth asked inside."""
-        return sum(plan.served for plan in self.plans.values()) / self.asked
+        """The served share of the value within the quotas."""
+        return sum(plan.served_within_quota for plan in self.plans.values()) / self.value_within_quota
 
 
-# Drawing a day
+# Drawing a workload
 
 
-def draw_day(settings: DaySettings, seed: int) -> Day:
-    """All requests of a day, in order of time."""
+def draw_workload(settings: WorkloadSettings, seed: int) -> Workload:
+    """Draw the requests of a workload."""
     rng = random.Random(seed)
     customers = [
-        _draw_customer(rng, settings, sales, f"{sales.plan.name}-{number}")
-        for sales in settings.plans
-        for number in range(sales.customers)
+        _draw_customer(rng, settings, group, f"{group.plan.name}-{number}")
+        for group in settings.plans
+        for number in range(group.customers)
     ]
     requests = [request for customer in customers for request in _customer_requests(rng, settings, customer)]
     hot_rate = settings.hot_factor * len(requests) / settings.seconds
     requests += _hot_requests(rng, settings, rng.choice(customers), hot_rate)
     requests.sort(key=lambda request: request.at)
-    return Day(settings, requests, seed, _worth_asked(Day(settings, requests, seed)))
+    return Workload(settings, requests, seed, _value_within_quota(Workload(settings, requests, seed)))
 
 
-def _draw_customer(rng: random.Random, settings: DaySettings, sales: PlanSales, name: str) -> Customer:
+def _draw_customer(rng: random.Random, settings: WorkloadSettings, group: PlanCustomers, name: str) -> Customer:
     habit = _draw_habit(rng, settings)
-    usual_requests = sales.asked_rate / settings.mean_units
+    usual_requests = group.quota_rate / settings.mean_units
     use = _draw_use(rng, settings, habit)
     spike_use = rng.uniform(*settings.spike_use) if habit is Habit.SPIKY else use
-    spread, first = _draw_spread(rng, settings, sales), rng.randrange(settings.gateways)
-    return Customer(name, sales, habit, use * usual_requests, spike_use * usual_requests, spread, first)
+    gateway_count = _draw_gateway_count(rng, settings, group)
+    first_gateway = rng.randrange(settings.gateways)
+    return Customer(name, group, habit, use * usual_requests, spike_use * usual_requests, gateway_count, first_gateway)
 
 
-def _draw_habit(rng: random.Random, settings: DaySettings) -> Habit:
+def _draw_habit(rng: random.Random, settings: WorkloadSettings) -> Habit:
     draw = rng.random()
     for habit, share in (
         (Habit.HEAVY, settings.heavy_share),
@@ -234,62 +295,67 @@
     return Habit.CALM
 
 
-def _draw_use(rng: random.Random, settings: DaySettings, habit: Habit) -> float:
+def _draw_use(rng: random.Random, settings: WorkloadSettings, habit: Habit) -> float:
     if habit is Habit.HEAVY:
         return rng.uniform(*settings.heavy_use)
     if habit is Habit.FULL:
-        return rng.uniform(*FULL_SHARES)
+        return rng.uniform(*FULL_USE)
     return settings.calm_use * rng.uniform(1.0 - CALM_VARIATION, 1.0 + CALM_VARIATION)
 
 
-def _draw_spread(rng: random.Random, settings: DaySettings, sales: PlanSales) -> int:
-    """A ceiling must leave each gateway of the set room for two of the largest requests."""
-    spread = round(settings.gateways * rng.uniform(*sales.spread))
-    if sales.plan.ceiling_rate:
-        spread = min(spread, int(sales.plan.ceiling_burst / (2 * settings.most_units)))
-    return max(LEAST_SPREAD, min(settings.gateways, spread))
+def _draw_gateway_count(rng: random.Random, settings: WorkloadSettings, group: PlanCustomers) -> int:
+    """Draw the number of gateways that a customer uses.
+
+    The burst of a ceiling must allow each of these gateways two of the largest requests.
+    """
+    gateway_count = round(settings.gateways * rng.uniform(*group.spread))
+    if group.plan.ceiling_rate:
+        gateway_count = min(gateway_count, int(group.plan.ceiling_burst / (2 * settings.max_units)))
+    return max(MIN_GATEWAYS_PER_CUSTOMER, min(settings.gateways, gateway_count))
 
 
 class GatewayChoice:
-    """Which gateway of its set a customer's requests come to: by weights that change now and then."""
+    """The choice of a gateway for each request of a customer, by random weights that change from time to time."""
 
-    def __init__(self, rng: random.Random, settings: DaySettings, customer: Customer) -> None:
-        self.rng, self.settings, self.customer = rng, settings, customer
-        self.weights: list[float] = []
+    def __init__(self, rng: random.Random, settings: WorkloadSettings, customer: Customer) -> None:
+        self.rng = rng
+        self.settings = settings
+        self.customer = customer
+        self.cumulative_weights: list[float] = []
         self.change_at = 0.0
 
     def choose(self, now: float) -> int:
-        """The gateway of a request at this time; times must not go back."""
+        """Return the index of the gateway for a request at this time, which must not be earlier than the last one."""
         while now >= self.change_at:
-            self._change()
-        place = bisect(self.weights, self.rng.random() * self.weights[-1])
-        place = min(place, self.customer.spread - 1)
-        return (self.customer.first + place) % self.settings.gateways
+            self._change_weights()
+        index = bisect(self.cumulative_weights, self.rng.random() * self.cumulative_weights[-1])
+        index = min(index, self.customer.gateway_count - 1)
+        return (self.customer.first_gateway + index) % self.settings.gateways
 
-    def _change(self) -> None:
+    def _change_weights(self) -> None:
         sigma = self.settings.weight_sigma
-        drawn = (math.exp(sigma * self.rng.gauss(0.0, 1.0)) for _ in range(self.customer.spread))
-        self.weights = list(accumulate(drawn))
-        self.change_at += self.rng.expovariate(1.0 / self.settings.weights_hold)
+        weights = (math.exp(sigma * self.rng.gauss(0.0, 1.0)) for _ in range(self.customer.gateway_count))
+        self.cumulative_weights = list(accumulate(weights))
+        self.change_at += self.rng.expovariate(1.0 / self.settings.weights_duration)
 
 
-def _customer_requests(rng: random.Random, settings: DaySettings, customer: Customer) -> Iterator[DrawnRequest]:
-    """Arrivals at the customer's greatest rate, thinned to the rate of each moment."""
+def _customer_requests(rng: random.Random, settings: WorkloadSettings, customer: Customer) -> Iterator[DrawnRequest]:
+    """Draw arrivals at the customer's maximum rate, and thin them to the rate of each moment."""
     spikes = _draw_spikes(rng, settings) if customer.habit is Habit.SPIKY else []
     choice = GatewayChoice(rng, settings, customer)
-    greatest = max(customer.requests_per_second, customer.spike_requests_per_second) * settings.burst_factor
-    now = rng.expovariate(greatest)
+    max_rate = max(customer.requests_per_second, customer.spike_requests_per_second) * settings.burst_factor
+    now = rng.expovariate(max_rate)
     while now < settings.seconds:
         spiking = any(start <= now < end for start, end in spikes)
         rate = customer.spike_requests_per_second if spiking else customer.requests_per_second
         if settings.burst_at <= now < settings.burst_at + settings.burst_length:
             rate *= settings.burst_factor
-        if rng.random() * greatest < rate:
+        if rng.random() * max_rate < rate:
             yield _draw_request(rng, settings, customer, choice, now)
-        now += rng.expovariate(greatest)
+        now += rng.expovariate(max_rate)
 
 
-def _draw_spikes(rng: random.Random, settings: DaySettings) -> list[tuple[float, float]]:
+def _draw_spikes(rng: random.Random, settings: WorkloadSettings) -> list[tuple[float, float]]:
     spikes = []
     start = rng.uniform(0.0, settings.spike_pause)
     while start < settings.seconds:
@@ -300,7 +366,7 @@
 
 
 def _hot_requests(
-    rng: random.Random, settings: DaySettings, customer: Customer, requests_per_second: float
+    rng: random.Random, settings: WorkloadSettings, customer: Customer, requests_per_second: float
 ) -> Iterator[DrawnRequest]:
     if not requests_per_second:
         return
@@ -313,162 +379,176 @@
 
 
 def _draw_request(
-    rng: random.Random, settings: DaySettings, customer: Customer, choice: GatewayChoice, now: float
+    rng: random.Random, settings: WorkloadSettings, customer: Customer, choice: GatewayChoice, now: float
 ) -> DrawnRequest:
     [request_class] = rng.choices([one.request_class for one in settings.classes], [c.share for c in settings.classes])
     answer_time = rng.expovariate(1.0 / settings.mean_answer_time)
     return DrawnRequest(now, choice.choose(now), customer, request_class, _draw_units(rng, settings), answer_time)
 
 
-def _draw_units(rng: random.Random, settings: DaySettings) -> float:
+def _draw_units(rng: random.Random, settings: WorkloadSettings) -> float:
     if settings.mean_units == 1.0:
         return 1.0
-    variance = math.log(1.0 + WORK_VARIATION**2)
-    work = settings.mean_units * rng.lognormvariate(-variance / 2.0, math.sqrt(variance))
-    return float(min(settings.most_units, max(1, round(work))))
+    variance = math.log(1.0 + UNITS_VARIATION**2)
+    units = settings.mean_units * rng.lognormvariate(-variance / 2.0, math.sqrt(variance))
+    return float(min(settings.max_units, max(1, round(units))))
 
 
 # The state of a quota
 
 
 class QuotaState:
-    """One customer's quota as it truly is, over all gateways: its store of units, and its attempts out."""
+    """The true state of one customer's quota over all gateways: its token bucket, and its attempts in flight."""
 
     def __init__(self, plan: Plan) -> None:
-        self.plan, self.level, self.at = plan, plan.burst, 0.0
-        self.ends: list[float] = []  # of the attempts out, a heap
+        self.plan = plan
+        self.level = plan.burst
+        self.updated_at = 0.0
+        self.attempt_ends: list[float] = []  # a heap of the times at which the attempts in flight end
 
     def refill(self, now: float) -> None:
-        """Let time pass; it must not go back."""
-        self.level = min(self.plan.burst, self.level + self.plan.rate * (now - self.at))
-        self.at = now
-        while self.ends and self.ends[0] <= now:
-            heappop(self.ends)
-
-    def inside(self, now: float, units: float) -> bool:
-        """Whether a request at this time is inside the quota."""
+        """Advance the state to this time, which must not be earlier than the last one."""
+        self.level = min(self.plan.burst, self.level + self.plan.rate * (now - self.updated_at))
+        self.updated_at = now
+        while self.attempt_ends and self.attempt_ends[0] <= now:
+            heappop(self.attempt_ends)
+
+    def allows(self, now: float, units: float) -> bool:
+        """Return whether a request at this time is within the quota."""
         self.refill(now)
-        holds_units = not self.plan.rate or self.level >= units - ROUNDING
-        return holds_units and (not self.plan.concurrency_limit or len(self.ends) < self.plan.concurrency_limit)
+        has_units = not self.plan.rate or self.level >= units - ROUNDING_TOLERANCE_UNITS
+        limit = self.plan.concurrency_limit
+        return has_units and (not limit or len(self.attempt_ends) < limit)
 
     def send(self, request: DrawnRequest) -> bool:
-        """Count a request that is sent on; gives whether it is inside.  One that is beyond takes no units."""
-        inside = self.inside(request.at, request.units)
-        self.take(request, request.units if inside else 0.0)
-        return inside
+        """Record a served request, and return whether it is within the quota; one over the quota takes no units."""
+        within_quota = self.allows(request.at, request.units)
+        self.take(request, request.units if within_quota else 0.0)
+        return within_quota
 
     def take(self, request: DrawnRequest, units: float) -> None:
-        """Take units, which may leave the store in debt, and count the request's attempt as out."""
+        """Take units, which may leave the bucket with a negative level, and record the request's attempt."""
         self.level -= units
-        heappush(self.ends, request.at + request.answer_time)
+        heappush(self.attempt_ends, request.at + request.answer_time)
 
 
 class QuotaStates:
-    """The quotas of all customers, and the figures of what is sent on."""
+    """The true state of the quotas of all customers, and the result for the served requests."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, workload: Workload) -> None:
         self.states: dict[str, QuotaState] = {}
-        self.figures = Figures(
-            {sales.plan.name: PlanFigures(day.asked.get(sales.plan.name, 0.0)) for sales in day.settings.plans}
+        self.result = WorkloadResult(
+            {
+                group.plan.name: PlanResult(workload.value_within_quota.get(group.plan.name, 0.0))
+                for group in workload.settings.plans
+            }
         )
 
-    def of(self, customer: Customer) -> QuotaState:
-        """One customer's quota."""
+    def get(self, customer: Customer) -> QuotaState:
+        """Return the state of one customer's quota."""
         state = self.states.get(customer.name)
         if state is None:
-            state = self.states[customer.name] = QuotaState(customer.sales.plan)
+            state = self.states[customer.name] = QuotaState(customer.group.plan)
         return state
 
     def send(self, request: DrawnRequest) -> bool:
-        """Count a request that is sent on; gives whether it is inside."""
-        inside = self.of(request.customer).send(request)
-        figures = self.figures.plans[request.customer.sales.plan.name]
-        if inside:
-            figures.served += request.worth
+        """Record a served request, and return whether it is within the quota."""
+        within_quota = self.get(request.customer).send(request)
+        result = self.result.plans[request.customer.group.plan.name]
+        if within_quota:
+            result.served_within_quota += request.value
         else:
-            figures.beyond += request.worth
-            figures.cost += request.cost_beyond
-        return inside
+            result.served_over_quota += request.value
+            result.over_quota_cost += request.over_quota_cost
+        return within_quota
 
 
 # The policies
 
 
-def _worth_asked(day: Day) -> dict[str, float]:
-    """What one gateway lets in that sees every request."""
-    states = QuotaStates(day)
-    for request in day.requests:
-        if states.of(request.customer).inside(request.at, request.units):
+def _value_within_quota(workload: Workload) -> dict[str, float]:
+    """Return the value, by plan, of the requests that a single gateway admits that sees every request."""
+    states = QuotaStates(workload)
+    for request in workload.requests:
+        if states.get(request.customer).allows(request.at, request.units):
             states.send(request)
-    return {name: plan.served for name, plan in states.figures.plans.items()}
+    return {name: plan.served_within_quota for name, plan in states.result.plans.items()}
+
 
+def run_delayed_policy(workload: Workload) -> WorkloadResult:
+    """Run a policy that sees the served requests and the attempts in flight with a delay of `STATE_DELAY_S`.
 
-def play_late(day: Day) -> Figures:
-    """The policy that sees what was sent on, and which attempts are out, as it was `SEEN_LATE` before.  Danger: what
-    it sends on beyond a quota counts as taken, too.  Else it would send on all that comes within that time at each
-    refill, and its price would be a bound that is easily met."""
-    states = QuotaStates(day)
-    seen = QuotaStates(day)
+    In the state that this policy sees, requests served over a quota take units, too.  Otherwise it would admit all
+    requests within that delay after each refill, and its cost would be a bound that is easily met.
+    """
+    states = QuotaStates(workload)
+    seen_states = QuotaStates(workload)
     unseen: deque[DrawnRequest] = deque()
-    for request in day.requests:
-        seen_until = max(0.0, request.at - SEEN_LATE)
+    for request in workload.requests:
+        seen_until = max(0.0, request.at - STATE_DELAY_S)
         while unseen and unseen[0].at <= seen_until:
-            told = unseen.popleft()
-            state = seen.of(told.customer)
-            state.refill(told.at)
-            state.take(told, told.units)
-        if seen.of(request.customer).inside(seen_until, request.units):
+            seen_request = unseen.popleft()
+            state = seen_states.get(seen_request.customer)
+            state.refill(seen_request.at)
+            state.take(seen_request, seen_request.units)
+        if seen_states.get(request.customer).allows(seen_until, request.units):
             states.send(request)
             unseen.append(request)
-    return states.figures
+    return states.result
 
 
-def play_fleet(day: Day, make_gateway: GatewayFactory = Gateway) -> Figures:
-    """The decisions of the gateways, each of which sees only the requests that come to it."""
-    fleet = Fleet(day, make_gateway)
-    for number, request in enumerate(day.requests):
+def run_gateways(workload: Workload, make_gateway: GatewayFactory = Gateway) -> WorkloadResult:
+    """Run gateways, each of which sees only the requests that are sent to it."""
+    fleet = Fleet(workload, make_gateway)
+    for number, request in enumerate(workload.requests):
         fleet.end_attempts(request.at)
-        fleet.ask(f"r{number}", request)
-    return fleet.states.figures
+        fleet.send_request(f"r{number}", request)
+    return fleet.states.result
 
 
 class Fleet:
-    """The gateways, the attempts they have out, and the true state of all quotas."""
-
-    def __init__(self, day: Day, make_gateway: GatewayFactory) -> None:
-        rng = random.Random(day.seed)
-        self.states = QuotaStates(day)
-        self.attempts: list[tuple[float, str, int, str, float]] = []  # end, request, gateway, server, answer time
-        numbers = range(day.settings.gateways)
-        self.gateways = [make_gateway(day.gateway_settings(number), rng.randrange(1 << 30)) for number in numbers]
+    """The gateways, their attempts in flight, and the true state of all quotas.
+
+    Attributes:
+        states: The true state of all quotas.
+        attempts: A heap of the attempts in flight: end time, request ID, gateway index, endpoint ID and answer time.
+        gateways: The gateways.
+    """
+
+    def __init__(self, workload: Workload, make_gateway: GatewayFactory) -> None:
+        rng = random.Random(workload.seed)
+        self.states = QuotaStates(workload)
+        self.attempts: list[tuple[float, str, int, str, float]] = []
+        numbers = range(workload.settings.gateways)
+        self.gateways = [make_gateway(workload.gateway_settings(number), rng.randrange(1 << 30)) for number in numbers]
         servers = tuple(Endpoint(f"server-{number}") for number in range(SERVERS))
         for gateway in self.gateways:
             gateway.handle(0.0, EndpointsChanged(EndpointListKind.RESTORED, servers))
 
     def end_attempts(self, now: float) -> None:
-        """Tell the gateways of the answers up to this time."""
+        """Notify the gateways of the attempts that end up to this time."""
         while self.attempts and self.attempts[0][0] <= now:
-            end, request, gateway, server, answer_time = heappop(self.attempts)
-            self.gateways[gateway].handle(end, AttemptEnded(request, 0, server, Outcome.OK, answer_time, True))
+            end, request_id, gateway, endpoint_id, answer_time = heappop(self.attempts)
+            self.gateways[gateway].handle(end, AttemptEnded(request_id, 0, endpoint_id, Outcome.OK, answer_time, True))
 
-    def ask(self, name: str, request: DrawnRequest) -> None:
-        """Give a request to its gateway, and count what it decides."""
-        customer, request_class = request.customer, request.request_class
-        plan = customer.sales.plan.name
+    def send_request(self, request_id: str, request: DrawnRequest) -> None:
+        """Send a request to its gateway, and record its decision."""
+        customer = request.customer
+        request_class = request.request_class
         event = RequestReceived(
-            name,
+            request_id,
             request_class.name,
-            plan,
+            customer.group.plan.name,
             customer.name,
             request_class.deadline,
             request.units,
-            customer.spread,
-            customer.first,
+            customer.gateway_count,
+            customer.first_gateway,
         )
         for action in self.gateways[request.gateway].handle(request.at, event):
             if isinstance(action, StartAttempt):
                 self.states.send(request)
                 end = request.at + request.answer_time
-                heappush(self.attempts, (end, name, request.gateway, action.endpoint_id, request.answer_time))
+                heappush(self.attempts, (end, request_id, request.gateway, action.endpoint_id, request.answer_time))
             elif isinstance(action, RejectRequest):
-                self.states.figures.refusals[action.reason] += 1
+                self.states.result.rejections[action.reason] += 1
