--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -13,7 +13,7 @@
 from ingress.decisions.endpoint_state import TrackedEndpoint
 
 SLOW_START_MARGIN = 0.7  # the share of what a warming endpoint can handle that all gateways together may send
-UNEVEN_SUBSETS_MARGIN = 0.65  # with subsets, one endpoint may be preferred by 1.5 times as many gateways as another
+UNEVEN_SUBSETS_MARGIN = 0.65  # a further factor: 1.5 times as many gateways may prefer one endpoint as another
 MIN_WARM_FRACTION = 0.5  # the share of the preferred capacity that must be warm to update the typical throughput
 MIN_REQUESTS_PER_OVERLOAD_WINDOW = 0.5  # from all gateways together
 WORK_RATE_WINDOW_RATIO = 0.25  # a share of the slow start duration
