--- a/ingress/process_group/__init__.py
+++ b/ingress/process_group/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of one ingress: membership, who accepts, what each has spent, and the handover."""
+"""Coordinates the processes of one ingress: membership, accepting, shared usage, configuration changes and handover."""
--- a/ingress/process_group/agreement.py
+++ b/ingress/process_group/agreement.py
@@ -1,8 +1,9 @@
-"""Agreement: the processes of one ingress change their configuration together, or not at all.
+"""Agreement on configuration changes: all processes of one ingress apply a change, or none does.
 
-The oldest process coordinates (two-phase commit): it prepares, has the others prepare, and only then has all commit.
-A process that rejects the change, or does not reply in time, leaves all on the current configuration; one that has
-ended is left out.  Each process talks to its predecessor and its successors alone, and passes messages on.
+The oldest process coordinates a two-phase commit: it prepares the change, asks the others to prepare it, and only then
+asks all to commit. If a process rejects the change or does not reply in time, all stay on the current configuration;
+a process that has ended does not count. Each process exchanges messages only with its predecessor and its successors,
+and forwards them along that chain.
 """
 
 from __future__ import annotations
@@ -30,20 +31,21 @@
 
 log = logging.getLogger(__name__)
 
-READY_WITHIN = 0.3  # s for another process to prepare
-TURN_WITHIN = 0.3  # s for the changes before to come to an end
-SETTLED_WITHIN = 0.8  # s for the coordinator's reply; answers at the second address are due within 1 s
+# The admin server has to answer within 1 s, so TURN_WITHIN + READY_WITHIN and SETTLED_WITHIN are each less than that.
+READY_WITHIN = 0.3  # timeout in seconds for a successor's reply to a prepare message
+TURN_WITHIN = 0.3  # timeout in seconds for earlier changes to finish
+SETTLED_WITHIN = 0.8  # timeout in seconds for the coordinator's reply to a proposal
 UNDER_WAY = "another change is under way"
 NO_REPLY = "another process of this ingress does not answer"
 NO_PREVIOUS = "there is no generation before"
 
 
 class Preparation(Struct, frozen=True):
-    """What a process says to a change.
+    """The outcome of preparing a change in one process.
 
     Attributes:
-        rejection: why it rejects the change; empty if it does not.
-        plan: what it can commit; None where the change is rejected, or nothing changes.
+        rejection: The reason why the process rejects the change; empty if it accepts it.
+        plan: The prepared change, to be committed; None if the change is rejected or changes nothing.
     """
 
     rejection: str = ""
@@ -51,41 +53,47 @@
 
 
 class Participant(Protocol):
-    """The local process."""
+    """The interface of the local process to the agreement."""
 
     def prepare(self, document: Mapping[str, Any]) -> Preparation:
-        """Prepares a change, and makes none."""
+        """Prepare a change without applying it."""
 
     def commit(self, plan: Any, cause: str, is_revert: bool) -> None:
-        """Makes the change; `is_revert`: it goes back to the previous configuration."""
+        """Apply a prepared change; `is_revert` marks a return to the previous configuration."""
 
     def previous_document(self) -> Mapping[str, Any] | None:
-        """The configuration before the current one."""
+        """Return the configuration before the current one; None if there is none."""
 
     def predecessor(self) -> Link | None:
-        """The process that came before this one, if it is there."""
+        """Return the link to the process started before this one; None if there is none."""
 
     def successors(self) -> Iterable[Link]:
-        """The processes that came after this one."""
+        """Return the links to the processes started after this one."""
 
 
 class AwaitedReply(NamedTuple):
-    """A reply that is waited for: a reason or an empty string, and None once the other process has ended."""
+    """A pending reply to a request.
+
+    Attributes:
+        link: The link over which the request was sent.
+        reply: Resolves to the reason for rejecting the change, to an empty string if it is accepted, or to None if the
+            link is lost.
+    """
 
     link: Link
     reply: asyncio.Future[str | None]
 
 
 class Agreement:
-    """The part of one process in all agreements.
+    """Agrees on configuration changes with the other processes, as coordinator or as participant.
 
     Attributes:
-        participant: the local process.
-        name: unique among the processes; the ids of changes and the tokens begin with it.
-        lock: one change at a time is coordinated here.
-        pending: requests that wait for a reply, by token.
-        prepared: plans that wait for their commit, by the id of the change; there is one at most.
-        tasks: answers under way.
+        participant: The local process.
+        name: The name of the local process, unique in the group; change ids and tokens begin with it.
+        lock: Held while this process coordinates a change, so that it coordinates one at a time.
+        pending: Requests that wait for a reply, by token.
+        prepared: The prepared plan that waits for its commit, by change id; at most one.
+        tasks: Tasks that are answering messages from other processes.
     """
 
     def __init__(self, participant: Participant, name: str) -> None:
@@ -98,17 +106,17 @@
         self._last_id = 0
 
     async def change(self, document: Mapping[str, Any] | None, cause: str) -> str:
-        """Changes the configuration of all processes; without a document, goes back to the previous one.
+        """Change the configuration of all processes; without a document, revert to the previous one.
 
         Returns:
-            Why the change is rejected; empty if it was made.
+            The reason why the change was rejected; empty if it was made.
         """
         predecessor = self.participant.predecessor()
         if predecessor is None:
             return await self._change_as_coordinator(document, cause)
         proposal = ProposeMessage(None if document is None else dict(document), cause, self._next_id())
         reason = await self._request(predecessor, proposal, SETTLED_WITHIN)
-        # The predecessor has ended meanwhile: this process may be the coordinator now.
+        # None: the link to the predecessor was lost, so this process may be the coordinator now.
         return await self.change(document, cause) if reason is None else reason
 
     async def _change_as_coordinator(self, document: Mapping[str, Any] | None, cause: str) -> str:
@@ -126,7 +134,7 @@
             self.lock.release()
 
     async def _coordinate(self, document: Document, cause: str, is_revert: bool) -> str:
-        """Runs both phases; where nothing changes for the coordinator itself, the others are not asked either."""
+        """Run both phases; if nothing changes for the coordinator, the other processes are not asked."""
         preparation = self.participant.prepare(document)
         if preparation.rejection or preparation.plan is None:
             return preparation.rejection
@@ -140,7 +148,11 @@
         return ""
 
     async def _prepare_successors(self, change_id: str, document: Document) -> str:
-        """Has the successors prepare; the first reason to reject the change."""
+        """Ask all successors to prepare a change.
+
+        Returns:
+            The first reason to reject the change; empty if no successor rejects it.
+        """
         replies = await asyncio.gather(
             *(
                 self._request(link, PrepareMessage(change_id, document, self._next_id()), READY_WITHIN)
@@ -149,13 +161,17 @@
         )
         return next((reason for reason in replies if reason), "")
 
-    async def _request(self, link: Link, message: ProposeMessage | PrepareMessage, within: float) -> str | None:
-        """The reason in the reply, NO_REPLY after `within` s, or None where the other process has ended."""
+    async def _request(self, link: Link, message: ProposeMessage | PrepareMessage, timeout_s: float) -> str | None:
+        """Send a request and wait for the reply.
+
+        Returns:
+            The reason in the reply, NO_REPLY after `timeout_s` seconds, or None if the link is lost.
+        """
         request = AwaitedReply(link, asyncio.get_running_loop().create_future())
         self.pending[message.token] = request
         try:
             _send(link, message)
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout_s):
                 return await request.reply
         except TimeoutError:
             return NO_REPLY
@@ -171,7 +187,10 @@
             _send(link, message)
 
     def link_lost(self, link: Link) -> None:
-        """That process has ended: its replies are given up, and a plan that it coordinated is dropped."""
+        """Stop waiting for replies over a lost link; if it led to the predecessor, drop the prepared plan.
+
+        The messages of the coordinator arrive over the link to the predecessor.
+        """
         for request in self.pending.values():
             if request.link is link and not request.reply.done():
                 request.reply.set_result(None)
@@ -179,7 +198,7 @@
             self.prepared.clear()
 
     def receive(self, link: Link, message: Mapping[str, Any]) -> None:
-        """Takes in a message of another process."""
+        """Handle a message from another process; ignore one that this build does not know."""
         match read_agreement_message(message):
             case ReplyMessage(token=token, reason=reason):
                 request = self.pending.get(token)
@@ -211,10 +230,11 @@
         _send(link, ReplyMessage(message.token, reason))
 
     def _on_commit(self, message: CommitMessage) -> None:
-        """Commits; a process that came while the others prepared prepares now, as it must not stay behind.
+        """Commit a change, preparing it first if this process joined after the others had prepared.
 
-        If it rejects the document then, it runs on the former one: the same file again changes nothing, since the
-        coordinator has it already.  Another change, or a restart of the process, brings them together.
+        If this process rejects the document at that point, it keeps its previous configuration while the others run
+        the new one. Loading the same file again does not help, since the coordinator already runs it and sees no
+        change. Another change, or a restart of this process, makes the configurations equal again.
         """
         if message.change_id in self.prepared:
             plan = self.prepared.pop(message.change_id)
@@ -222,13 +242,17 @@
             preparation = self.participant.prepare(message.document)
             plan = preparation.plan
             if preparation.rejection:
-                log.error("%s: this process stays behind the others: %s", message.cause, preparation.rejection)
+                log.error(
+                    "%s: this process rejects a configuration that the other processes commit, and keeps its own: %s",
+                    message.cause,
+                    preparation.rejection,
+                )
         if plan is not None:
             self.participant.commit(plan, message.cause, message.is_revert)
         self._broadcast(message)
 
     def close(self) -> None:
-        """Gives up the answers under way."""
+        """Cancel the tasks that are answering messages."""
         for task in self.tasks:
             task.cancel()
 
--- a/ingress/process_group/agreement_messages.py
+++ b/ingress/process_group/agreement_messages.py
@@ -1,6 +1,6 @@
-"""The messages by which the processes of one ingress agree on a change of the configuration.
+"""Messages with which the processes of one ingress agree on a configuration change.
 
-Their keys, and the order of the keys, are known to processes of other builds, and never change.
+Processes of other builds read them, so their keys and the order of the keys never change.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class ProposeMessage(Struct, frozen=True, tag_field="step", tag="propose"):
-    """To the predecessor: make this change.
+    """Asks the predecessor to have a change made.
 
     Attributes:
-        document: the configuration; None to go back to the previous one.
-        cause: for the log.
-        token: comes back with the reply.
+        document: The configuration; None to revert to the previous one.
+        cause: The cause of the change, for the log.
+        token: The token that the reply repeats.
     """
 
     document: Document | None
@@ -29,12 +29,12 @@
 
 
 class PrepareMessage(Struct, frozen=True, tag_field="step", tag="prepare"):
-    """To the successors: prepare this change, and reply.
+    """Asks a successor to prepare a change and to reply.
 
     Attributes:
-        change_id: names the change in the messages that follow.
-        document: the configuration.
-        token: comes back with the reply.
+        change_id: The id of the change, which the commit or abort message repeats.
+        document: The configuration.
+        token: The token that the reply repeats.
     """
 
     change_id: str = msgspec.field(name="id")
@@ -43,13 +43,13 @@
 
 
 class CommitMessage(Struct, frozen=True, tag_field="step", tag="commit"):
-    """To the successors: make the change.
+    """Tells a successor to commit a change.
 
     Attributes:
-        change_id: that of the preparation.
-        document: the configuration.
-        cause: for the log.
-        is_revert: it goes back to the previous configuration.
+        change_id: The id from the prepare message.
+        document: The configuration, for a process that joined after the others had prepared.
+        cause: The cause of the change, for the log.
+        is_revert: True if the change reverts to the previous configuration.
     """
 
     change_id: str = msgspec.field(name="id")
@@ -59,21 +59,21 @@
 
 
 class AbortMessage(Struct, frozen=True, tag_field="step", tag="abort"):
-    """To the successors: forget the change.
+    """Tells a successor to drop a prepared change.
 
     Attributes:
-        change_id: that of the preparation.
+        change_id: The id from the prepare message.
     """
 
     change_id: str = msgspec.field(name="id")
 
 
 class ReplyMessage(Struct, frozen=True, tag_field="step", tag="reply"):
-    """The answer to a proposal or a preparation.
+    """Replies to a propose or prepare message.
 
     Attributes:
-        token: that of the request.
-        reason: why the change is rejected; empty if it is not.
+        token: The token of the request.
+        reason: The reason why the change is rejected; empty if it is accepted.
     """
 
     token: str
@@ -84,7 +84,7 @@
 
 
 def read_agreement_message(message: Mapping[str, Any]) -> AgreementMessage | None:
-    """Reads a message; None for one that this build does not know."""
+    """Decode a message; return None for one that this build does not know."""
     try:
         found: AgreementMessage = msgspec.convert(message, AgreementMessage)
     except msgspec.ValidationError:
@@ -93,6 +93,6 @@
 
 
 def write_agreement_message(message: AgreementMessage) -> dict[str, Any]:
-    """The form that `read_agreement_message` reads."""
+    """Encode a message as `read_agreement_message` reads it."""
     written: dict[str, Any] = msgspec.to_builtins(message)
     return written
--- a/ingress/process_group/errors.py
+++ b/ingress/process_group/errors.py
@@ -1,4 +1,4 @@
-"""The errors of what processes of one ingress send each other."""
+"""Errors in the communication between the processes of one ingress."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 
 class HandoverError(IngressError):
-    """There is a predecessor, and this process can't take over from it; the text says why."""
+    """A predecessor exists, but this process cannot take over from it; the message gives the reason."""
 
 
 class MessageError(IngressError, ValueError):
-    """A message of another process can't be read; the text shows it."""
+    """A message from another process is invalid; the error text quotes its beginning."""
--- a/ingress/process_group/handover.py
+++ b/ingress/process_group/handover.py
@@ -1,4 +1,4 @@
-"""Taking over: a process that starts is given the listening socket and the whole state of its predecessor."""
+"""The takeover of a starting process, which receives its predecessor's listening socket and complete state."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 
 log = logging.getLogger(__name__)
 
-HANDOVER_TIMEOUT = 3.0  # s for each answer of the predecessor
-READ_SIZE = 1 << 16  # bytes
+HANDOVER_TIMEOUT_S = 3.0  # applies to each socket operation, not to the handover as a whole
+READ_SIZE_BYTES = 1 << 16
 
 
 class ReceivedHandover:
-    """What the predecessor has handed over.
+    """The data received from the predecessor.
 
     Attributes:
-        connection: to the predecessor; a link goes on with it.
-        listener: the listening socket, if it was passed on.
-        message: the state.
-        buffered: what was read after the message.
+        connection: The connection to the predecessor, on which a link continues.
+        listener: The listening socket; None if the predecessor did not pass it on.
+        message: The handover message with the predecessor's state.
+        buffered: The bytes that were read after the message.
     """
 
     def __init__(
@@ -38,26 +38,32 @@
 
 
 def socket_path(listen: tuple[str, int]) -> Path:
-    """The socket where processes of the ingress at that address are found."""
+    """Return the path of the Unix socket at which the processes of the ingress on that address are reached."""
     return Path(tempfile.gettempdir()) / f"ingress-{listen[0]}-{listen[1]}"
 
 
 def take_over(path: Path) -> ReceivedHandover | None:
-    """Takes over from the process at that socket; None if there is none.  Blocks: this one does not serve yet.
+    """Take over from the process that listens on the socket at `path`.
+
+    Blocks, since this process does not serve yet.
+
+    Returns:
+        The data of the handover; None if there is no predecessor.
 
     Raises:
-        HandoverError: it does not answer, or can't be understood.
+        HandoverError: The predecessor does not answer in time, closes the connection early or sends an invalid message.
     """
     with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
-        sock.settimeout(HANDOVER_TIMEOUT)
+        sock.settimeout(HANDOVER_TIMEOUT_S)
         try:
             with short_socket_name(path) as name:
                 sock.connect(name)
             data, descriptors, _, _ = socket.recv_fds(sock, 1, 1)
         except TimeoutError as error:
-            raise HandoverError("the process before is silent") from error
+            raise HandoverError(f"the predecessor at {path} does not answer within {HANDOVER_TIMEOUT_S} s") from error
         except OSError as error:
-            log.info("nothing to take over: %s", error)  # none, one that ends now, or what a crash left there
+            # There is no predecessor, it is ending now, or a crash left the socket file behind.
+            log.info("no predecessor to take over from at %s: %s", path, error)
             return None
         listener = socket.socket(fileno=descriptors[0]) if descriptors else None
         return _receive(sock, listener, data)
@@ -69,15 +75,17 @@
         message = read_handover_message(json.loads(line))
         return ReceivedHandover(sock.dup(), listener, message, buffered)
     except (OSError, KeyError, TypeError, ValueError) as error:
-        raise HandoverError(f"{type(error).__name__}: {error}") from error
+        raise HandoverError(
+            f"cannot read the handover message of the predecessor: {type(error).__name__}: {error}"
+        ) from error
 
 
 def _read_line(sock: socket.socket, data: bytes) -> tuple[bytes, bytes]:
-    """The first line, `data` included, and what was read behind it."""
+    """Read the first line, which begins with `data`; return it and the bytes read after it."""
     chunks = [data]
     while b"\n" not in chunks[-1]:
-        chunks.append(sock.recv(READ_SIZE))
+        chunks.append(sock.recv(READ_SIZE_BYTES))
         if not chunks[-1]:
-            raise HandoverError("the process before hung up")
+            raise HandoverError("the predecessor closed the connection before the end of its handover message")
     line, _, buffered = b"".join(chunks).partition(b"\n")
     return line, buffered
--- a/ingress/process_group/handover_messages.py
+++ b/ingress/process_group/handover_messages.py
@@ -1,6 +1,7 @@
-"""The message that hands a process's whole state to its successor, and its parts; checkpoints hold some of them too.
+"""The handover message, which transfers the complete state of a process to its successor.
 
-The keys and the order of fields are those that processes of other builds know, and never change.
+Checkpoints contain some of its parts too. Processes of other builds read both, so the keys and the order of the fields
+never change within a format version.
 """
 
 from __future__ import annotations
@@ -17,8 +18,8 @@
 from ingress.process_group.member_record import MemberRecord, read_member_record
 from ingress.process_group.usage_ledger import UsageTotals, read_usage_totals
 
-FORM = 2  # the version of the message; any other but the one before is not understood
-PREVIOUS_FORM = 1  # its health of endpoints is not comparable, and left out
+FORMAT_VERSION = 2
+PREVIOUS_FORMAT_VERSION = 1  # also accepted; its endpoint health is not comparable and is ignored
 
 Document: TypeAlias = Mapping[str, Any]
 
@@ -27,11 +28,11 @@
     """The first message to a process that takes over.
 
     Attributes:
-        endpoint_list: the endpoints and their addresses.
-        state: of the decision module.
-        documents: the configurations that can be gone back to, the current one last.
-        member: the record of the process that hands over; None of a build that keeps no membership.
-        usage_totals: what the buckets of `state` have counted already.
+        endpoint_list: The endpoints and their addresses.
+        state: The state of the decision module.
+        documents: The configurations that can be reverted to, the current one last.
+        member: The member record of the process that hands over; None from a build without membership.
+        usage_totals: The usage that the buckets in `state` already include.
     """
 
     endpoint_list: EndpointList
@@ -41,11 +42,11 @@
     usage_totals: tuple[UsageTotals, ...] = ()
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
+        """Return the message as a JSON object, in the order of keys that other builds know."""
         return {
             "ledger": [totals.to_message() for totals in self.usage_totals],
             "row": self.member.to_message() if self.member is not None else None,
-            "form": FORM,
+            "form": FORMAT_VERSION,
             "documents": list(self.documents),
             **write_endpoint_list(self.endpoint_list),
             "estate": write_handover_state(self.state),
@@ -53,20 +54,23 @@
 
 
 def read_handover_message(message: Mapping[str, Any]) -> HandoverMessage:
-    """Reads the first message of the predecessor.
+    """Decode the first message from the predecessor.
 
     Raises:
-        KeyError: a key is missing.
-        TypeError: a value is of another type.
-        ValueError: a value is out of range, or the form is not known.
+        KeyError: A key is missing.
+        TypeError: A value has the wrong type.
+        ValueError: A value is out of range, or the format version is not supported.
     """
-    form = message["form"]
-    if form not in (FORM, PREVIOUS_FORM):
-        raise ValueError(f"form {form!r}")
+    format_version = message["form"]
+    if format_version not in (FORMAT_VERSION, PREVIOUS_FORMAT_VERSION):
+        raise ValueError(
+            f"unsupported format version {format_version!r} of the handover message;"
+            f" expected {PREVIOUS_FORMAT_VERSION} or {FORMAT_VERSION}"
+        )
     member = message.get("row")
     return HandoverMessage(
         endpoint_list=read_endpoint_list(message),
-        state=read_handover_state(message["estate"], form),
+        state=read_handover_state(message["estate"], format_version),
         documents=tuple(message.get("documents", ())),
         member=read_member_record(member) if member else None,
         usage_totals=tuple(read_usage_totals(totals) for totals in message.get("ledger", ())),
@@ -74,7 +78,7 @@
 
 
 def read_endpoint(message: Mapping[str, Any]) -> Endpoint:
-    """Reads an endpoint of a handover message or a checkpoint."""
+    """Decode one endpoint of a handover message or a checkpoint."""
     fields = dict(message)
     readiness = Readiness(fields.pop("readiness"))
     started_at = fields.pop("started", 0.0)
@@ -82,7 +86,7 @@
 
 
 def write_endpoint(endpoint: Endpoint) -> dict[str, Any]:
-    """The form that `read_endpoint` reads."""
+    """Encode an endpoint as `read_endpoint` reads it."""
     return {
         "id": endpoint.id,
         "zone": endpoint.zone,
@@ -95,7 +99,7 @@
 
 
 def read_endpoint_list(message: Mapping[str, Any]) -> EndpointList:
-    """Reads the endpoints of a handover message or a checkpoint."""
+    """Decode the endpoint list of a handover message or a checkpoint."""
     return EndpointList(
         int(message["version"]),
         True,
@@ -105,7 +109,7 @@
 
 
 def write_endpoint_list(endpoint_list: EndpointList) -> dict[str, Any]:
-    """The form that `read_endpoint_list` reads; an endpoint without an address is left out."""
+    """Encode an endpoint list as `read_endpoint_list` reads it, without endpoints that have no address."""
     return {
         "version": endpoint_list.version,
         "addresses": endpoint_list.addresses,
@@ -115,9 +119,9 @@
     }
 
 
-def read_endpoint_state(fields: Sequence[Any], form: int) -> EndpointState:
-    """Reads the state of an endpoint, in the order of the fields in that form."""
-    if form == PREVIOUS_FORM:
+def read_endpoint_state(fields: Sequence[Any], format_version: int) -> EndpointState:
+    """Decode the state of an endpoint, whose order of fields depends on the format version."""
+    if format_version == PREVIOUS_FORMAT_VERSION:
         name, limit, was_reduced, latency_ratio, relative_latency, *_old_health, slow_start_level = fields
         return EndpointState(name, limit, was_reduced, latency_ratio, relative_latency, slow_start_level)
     name, limit, was_reduced, latency_ratio, relative_latency, slow_start_level, health = fields
@@ -126,13 +130,13 @@
 
 
 def write_endpoint_state(state: EndpointState) -> tuple[Any, ...]:
-    """The form that `read_endpoint_state` reads."""
+    """Encode the state of an endpoint as `read_endpoint_state` reads it."""
     *fields, _health = astuple(state)
     return (*fields, None if state.health is None else astuple(state.health))
 
 
-def read_handover_state(message: Mapping[str, Any], form: int = FORM) -> HandoverState:
-    """Reads the state of the decision module."""
+def read_handover_state(message: Mapping[str, Any], format_version: int = FORMAT_VERSION) -> HandoverState:
+    """Decode the state of the decision module."""
     return HandoverState(
         started_at=float(message["born"]),
         draining=bool(message["draining"]),
@@ -140,14 +144,14 @@
         recent_work_rate=float(message["done"]),
         mean_latencies=message["means"],
         customers=tuple(CustomerState(*fields) for fields in message["customers"]),
-        endpoints=tuple(read_endpoint_state(fields, form) for fields in message["backends"]),
+        endpoints=tuple(read_endpoint_state(fields, format_version) for fields in message["backends"]),
         unseen_ceiling_levels={str(name): float(level) for name, level in message.get("fresh", {}).items()},
         usage_known_since=message.get("since"),
     )
 
 
 def write_handover_state(state: HandoverState) -> dict[str, Any]:
-    """The form that `read_handover_state` reads."""
+    """Encode the state of the decision module as `read_handover_state` reads it."""
     return {
         "born": state.started_at,
         "draining": state.draining,
--- a/ingress/process_group/link.py
+++ b/ingress/process_group/link.py
@@ -1,4 +1,4 @@
-"""A link: one connection to another process of the same ingress, with one line of JSON a message."""
+"""A link: a connection to another process of the same ingress, with each message as one line of JSON."""
 
 from __future__ import annotations
 
@@ -14,38 +14,46 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_BYTES = 8 << 20  # that wait to be written to another process
+MAX_WRITE_BUFFER_BYTES = 8 << 20  # a link is closed if more bytes wait for the other process to read them
 MAX_LINE_BYTES = 16 << 20
-NO_LISTENER = b" "  # the byte before the first message, where no socket comes with it
+# The byte that precedes the handover message. If the listening socket is passed on, it is sent as ancillary data of
+# this byte. JSON decoders skip the blank.
+HANDOVER_PREFIX = b" "
 
 
 class LinkDelegate(Protocol):
-    """The process whose links these are."""
+    """Handles the events of all links of the local process."""
 
     def handover_for_successor(self) -> tuple[socket.socket | None, HandoverMessage]:
-        """The listening socket where it can be passed on, and the first message to a process that takes over."""
+        """Return the listening socket, None if it is closed, and the handover message for a successor."""
 
     def links_changed(self) -> None:
-        """A link has been made or lost."""
+        """Handle a link that was made or lost."""
 
     def link_made(self, link: Link) -> None:
-        """A link to a process that has its state from elsewhere has been made."""
+        """Handle a new link to a process that already has its state from elsewhere."""
 
     def link_lost(self, link: Link) -> None:
-        """The other process has ended, or is out of reach."""
+        """Handle the loss of a link, because the other process has ended or cannot be reached."""
 
     def message_received(self, link: Link, message: PeerMessage) -> None:
-        """The other process has sent a message; ValueError, TypeError or KeyError if it makes no sense."""
+        """Handle a message from the other process.
+
+        Raises:
+            KeyError: A key is missing in the message.
+            TypeError: A value in the message has the wrong type.
+            ValueError: A value in the message is out of range.
+        """
 
 
 class LinkRegistry(Protocol):
-    """Keeps all links of a process.
+    """Keeps all links of the local process.
 
     Attributes:
-        delegate: the process.
-        links: those that are up.
-        messages_sent: over all links.
-        bytes_sent: over all links.
+        delegate: The handler of link events.
+        links: The open links.
+        messages_sent: The number of messages sent over all links.
+        bytes_sent: The number of bytes sent over all links.
     """
 
     delegate: LinkDelegate
@@ -55,7 +63,7 @@
 
 
 def encode_line(message: Message) -> bytes:
-    """The message as a line."""
+    """Encode a message as one line of JSON."""
     return json.dumps(message.to_message()).encode() + b"\n"
 
 
@@ -63,12 +71,15 @@
     """A connection to another process.
 
     Attributes:
-        is_newer: the other process came after this one.
-        is_successor: it takes over from this one, and is sent this one's state.
-        is_additional: it has its state already, from an earlier link or another process.
-        name: of the other process; empty until it has sent its record.
-        reported_usage: what a process of a build that keeps no membership has in use: connections of clients,
-            connections to endpoints, bytes.
+        registry: The registry to which this link belongs.
+        is_newer: True if the other process started after this one.
+        is_successor: True if the other process takes over from this one, and is sent its state.
+        is_additional: True if the other process already has its state, from an earlier link or another process.
+        name: The name of the other process; empty until it has sent its member record.
+        transport: The transport of the connection; None while it is closed.
+        buffer: The received bytes of a line that is not complete yet.
+        reported_usage: The client connections, endpoint connections and bytes in use that the other process reported;
+            empty until it has. Only needed for builds without membership.
     """
 
     def __init__(
@@ -84,8 +95,8 @@
         self.reported_usage: tuple[int, ...] = ()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Hands over where the other process takes over; part of `asyncio.Protocol`."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has a class of its own
+        """Register the link, and hand over the state if the other process takes over; part of `asyncio.Protocol`."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport classes
         delegate = self.registry.delegate
         if self.is_successor:
             self._hand_over(*delegate.handover_for_successor())
@@ -99,44 +110,54 @@
         if listener is not None:
             self._send_socket(listener)
         else:
-            self.transport.write(NO_LISTENER)
+            self.transport.write(HANDOVER_PREFIX)
         self.send(message)
 
     def _send_socket(self, listener: socket.socket) -> None:
-        """Sends the socket beside a blank, which the reader of the first line skips."""
+        """Send the listening socket as ancillary data of the blank that precedes the handover message."""
         assert self.transport is not None
         descriptor = os.dup(self.transport.get_extra_info("socket").fileno())
         with socket.socket(fileno=descriptor) as connection:
-            socket.send_fds(connection, [NO_LISTENER], [listener.fileno()])
+            socket.send_fds(connection, [HANDOVER_PREFIX], [listener.fileno()])
 
     def send(self, message: Message) -> None:
-        """Sends a message; closes the link where the other process does not read."""
+        """Send a message; close the link if the other process does not read."""
         self.send_line(encode_line(message))
 
     def send_line(self, line: bytes) -> None:
-        """Sends a message that `encode_line` has made."""
+        """Send a message that `encode_line` has encoded; close the link if the other process does not read."""
         if self.transport is None:
             return
         self.registry.messages_sent += 1
         self.registry.bytes_sent += len(line)
         self.transport.write(line)
-        if self.transport.get_write_buffer_size() > MAX_PENDING_BYTES:
-            log.warning("another process does not read: it is given up")
+        if self.transport.get_write_buffer_size() > MAX_WRITE_BUFFER_BYTES:
+            log.warning(
+                "closing the link to process %s: it does not read, and more than %d bytes wait to be sent",
+                self.name or "(name unknown)",
+                MAX_WRITE_BUFFER_BYTES,
+            )
             self.transport.abort()
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection once its write buffer is empty."""
         if self.transport is not None:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Reads whole lines, and keeps the rest; part of `asyncio.Protocol`."""
+        """Handle all complete lines and buffer the rest; part of `asyncio.Protocol`."""
         *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
             try:
                 self._message_received(json.loads(line))
             except (ValueError, TypeError, KeyError, AttributeError) as error:
-                log.warning("another process says %.80r: %s", line, error)
+                log.warning(
+                    "ignoring an invalid message from process %s: %.80r: %s: %s",
+                    self.name or "(name unknown)",
+                    line,
+                    type(error).__name__,
+                    error,
+                )
         if len(self.buffer) > MAX_LINE_BYTES and self.transport is not None:
             self.transport.abort()
 
@@ -146,7 +167,7 @@
             self.registry.delegate.message_received(self, message)
 
     def connection_lost(self, _error: Exception | None) -> None:
-        """Reports the loss; part of `asyncio.Protocol`."""
+        """Unregister the link and report its loss; part of `asyncio.Protocol`."""
         self.transport = None
         self.registry.links.discard(self)
         self.registry.delegate.link_lost(self)
--- a/ingress/process_group/member_record.py
+++ b/ingress/process_group/member_record.py
@@ -1,4 +1,4 @@
-"""What a process of an ingress publishes about itself to the other processes."""
+"""The member record, which a process of an ingress publishes about itself to the other processes."""
 
 from __future__ import annotations
 
@@ -10,25 +10,30 @@
 
 from ingress.process_group.errors import MessageError
 
-MAX_TIME = 1e12  # s of the monotonic clock; what is larger is no time
+MAX_MONOTONIC_S = 1e12  # a record with a later time is invalid
 
 
 class ConnectionCounts(NamedTuple):
-    """Numbers of connections; sent as a list of two."""
+    """Numbers of connections; sent as a list of two numbers.
+
+    Attributes:
+        clients: The number of client connections.
+        endpoints: The number of connections to endpoints.
+    """
 
     clients: int
     endpoints: int
 
     def plus(self, other: ConnectionCounts) -> ConnectionCounts:
-        """The sum, field by field."""
+        """Return the field-wise sum."""
         return ConnectionCounts(self.clients + other.clients, self.endpoints + other.endpoints)
 
     def minus(self, other: ConnectionCounts) -> ConnectionCounts:
-        """The difference, field by field; it may be negative."""
+        """Return the field-wise difference, which may be negative."""
         return ConnectionCounts(self.clients - other.clients, self.endpoints - other.endpoints)
 
     def at_least_zero(self) -> ConnectionCounts:
-        """These numbers with 0 in place of a negative one."""
+        """Return these numbers with negative ones replaced by 0."""
         return ConnectionCounts(max(0, self.clients), max(0, self.endpoints))
 
 
@@ -36,33 +41,33 @@
 
 
 def total_of(counts: Iterable[ConnectionCounts]) -> ConnectionCounts:
-    """The sum of all, field by field."""
+    """Return the field-wise sum of all counts."""
     total = NO_CONNECTIONS
-    for each in counts:
-        total = total.plus(each)
+    for count in counts:
+        total = total.plus(count)
     return total
 
 
 class MemberRecord(Struct, frozen=True):
-    """The state of one process, as it publishes it.  The names in `field(name=...)` are those that are sent.
+    """The published state of one process. The names in `field(name=...)` are those on the wire.
 
     Attributes:
-        name: unique among all processes that ever belonged to the ingress.
-        pid: its process id, which the system may use again.
-        start_ticks: when the system started it, in the system's clock ticks.
-        order: one more than that of any process it knew of when it came.
-        sent_at: s of the machine's monotonic clock.
-        ready: it can serve.
-        ending: it has been asked to end.
-        accepting: it accepts connections.
-        in_use: the connections that it has open.
-        memory: bytes in use.
-        reserve: the connections that it may have open.
-        granted: all that it ever gave of its reserve, by the process that gets it.
-        received: all that it ever got, by the process that gave it.
-        departed: ended processes from which it takes nothing any more.
-        config_version: the number of the configuration that it runs.
-        build: names the messages that it understands.
+        name: The name of the process, unique among all processes that ever belonged to the ingress.
+        pid: The process id, which the system may reuse.
+        start_ticks: The time at which the system started the process, in the system's clock ticks.
+        order: A number higher than that of every process that this one was aware of when it started.
+        sent_at: The time of the record, in seconds of the machine's monotonic clock.
+        ready: True if the process can serve.
+        ending: True if the process has been asked to end.
+        accepting: True if the process accepts connections.
+        in_use: The connections that the process has open.
+        memory: The memory in use, in bytes.
+        reserve: The connections that the process may have open.
+        granted: All connections that the process has ever granted from its reserve, by receiving process.
+        received: All connections that the process has ever received, by granting process.
+        departed: The ended processes from which this process no longer accepts grants.
+        config_version: The version of the configuration that the process runs.
+        build: The version of the messages that the process understands.
     """
 
     name: str
@@ -84,21 +89,21 @@
 
     @property
     def seniority(self) -> tuple[int, str]:
-        """Sorts processes by age, the oldest first."""
+        """The sort key that orders processes by age, the oldest first."""
         return self.order, self.name
 
     def to_message(self) -> dict[str, Any]:
-        """The record as it is sent."""
+        """Return the record as a JSON object, under the names on the wire."""
         return dict(zip(self.__struct_encode_fields__, astuple(self), strict=True))
 
 
 def read_member_record(message: Mapping[str, Any]) -> MemberRecord:
-    """Reads a record that was sent; fields that this build does not know are left out.
+    """Decode a record from another process; ignore fields that this build does not know.
 
     Raises:
-        KeyError: a field is missing.
-        TypeError: a field is of another type.
-        ValueError: a field has a value that it can't have.
+        KeyError: A field with connection counts or names of processes is missing.
+        TypeError: Another required field is missing, or a field has the wrong type.
+        ValueError: A field has an invalid value.
     """
     sent_names = zip(MemberRecord.__struct_encode_fields__, MemberRecord.__struct_fields__, strict=True)
     fields = {name: message[sent_name] for sent_name, name in sent_names if sent_name in message}
@@ -108,9 +113,9 @@
         fields[name] = {str(process): _read_counts(counts) for process, counts in fields[name].items()}
     fields["departed"] = tuple(map(str, fields["departed"]))
     record = MemberRecord(**fields)
-    is_valid = isinstance(record.name, str) and isinstance(record.order, int) and 0 <= float(record.sent_at) < MAX_TIME
-    if not is_valid:
-        raise MessageError(f"no member record: {message!r:.80}")
+    has_valid_key = isinstance(record.name, str) and isinstance(record.order, int)
+    if not (has_valid_key and 0 <= float(record.sent_at) < MAX_MONOTONIC_S):
+        raise MessageError(f"invalid name, order or time in a member record: {message!r:.80}")
     return record
 
 
--- a/ingress/process_group/membership.py
+++ b/ingress/process_group/membership.py
@@ -1,16 +1,17 @@
-"""Membership: which processes make up one ingress, which one accepts, which one leads, and their connection reserves.
+"""Membership: which processes form one ingress, which of them accepts, which one leads, and their connection reserves.
 
-Pure: records come in and go out, and the caller says what time it is and whether a process still exists.  Times are
-seconds of the machine's monotonic clock, which all processes of one machine share.
+This module does no I/O: it consumes and produces records, and the caller supplies the time and the list of existing
+processes. Times are seconds of the machine's monotonic clock, which all processes on one machine share.
 
-Each process publishes its record at each heartbeat; a newer one replaces an older, so that records may come late,
-twice, out of order or by way of other processes.  Whether a process exists is asked of the system: a process announces
-itself there before it is given anything.
+Each process publishes its record at each heartbeat. A newer record replaces an older one, so records may arrive late,
+twice, out of order or through other processes. The operating system is the authority on which processes exist: a
+process announces itself there before it is granted anything.
 
-A reserve (connections that a process may have open) moves only by grants: the granting process's record counts all
-that it ever granted to each process, the receiver's all that it ever received, and the difference is under way.  So
-neither delay nor repetition can make the sum of the reserves more than the total.  The reserve of a process that has
-ended goes to the leader, once all others have confirmed that they take nothing from it any more.
+A reserve is the number of connections that a process may have open. It moves only by grants: the record of the granting
+process counts all that it has ever granted to each process, the record of the receiver all that it has ever received,
+and the difference is in transit. So neither delay nor repetition can raise the sum of the reserves above the total. The
+reserve of an ended process goes to the leader, once all other processes have confirmed that they no longer accept
+grants from it.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 
 from ingress.process_group.member_record import NO_CONNECTIONS, ConnectionCounts, MemberRecord, total_of
 
-HEARTBEAT_INTERVAL = 0.1  # s
-SILENCE_TIMEOUT = 1.0  # s without a record after which a process neither accepts nor is waited for
-ACCEPT_LEASE = 0.5  # s after its own heartbeat for which a process may accept
-SPARE_DIVISOR = 32  # a process keeps 1/32 of the total as spare before it grants the rest to another
+HEARTBEAT_INTERVAL_S = 0.1
+SILENCE_TIMEOUT_S = 1.0  # a process without a record for so long cannot be the acceptor and gets no grants
+ACCEPT_LEASE_S = 0.5  # a process may accept for so long after its own latest heartbeat
+SPARE_DIVISOR = 32  # in addition to what it uses, a process keeps 1/32 of the total before it grants the rest
 
 ProcessLister: TypeAlias = Callable[[], Iterable[str]]
 
 
 class LocalState(Struct, frozen=True):
-    """What a process publishes of itself with a heartbeat; the fields are those of `MemberRecord`."""
+    """The state that a process publishes with a heartbeat; `MemberRecord` describes the fields."""
 
     in_use: ConnectionCounts
     ready: bool
@@ -42,7 +43,14 @@
 
 
 class View(Struct, frozen=True):
-    """What the number of the view counts changes of."""
+    """The part of the view whose changes are counted by the view's version.
+
+    Attributes:
+        others: The names of the other processes, sorted.
+        silent: The names of those that are silent, sorted.
+        acceptor: The name of the process that accepts; empty if there is none.
+        leader: The name of the leader.
+    """
 
     others: list[str]
     silent: list[str]
@@ -54,13 +62,14 @@
     """The view that one process has of its group.
 
     Attributes:
-        local: the record of this process.
-        total: connections that all processes together may have open.
-        list_processes: asks the system for the names of all processes of this ingress that exist.
-        others: the records of the other processes, by name.
-        departed: names of processes that have ended, in the order in which that was seen.
-        excluded: the other processes have taken this one for ended: it keeps its reserve, and gets no more.
-        version: counts the changes of the view.
+        local: The record of this process.
+        total: The connections that all processes together may have open.
+        list_processes: Asks the system for the names of all existing processes of this ingress.
+        others: The records of the other processes, by name.
+        departed: The names of processes that have ended, in the order in which this was noticed.
+        excluded: True if another process has recorded this one as ended. This process then keeps its reserve, but it is
+            granted no more, and neither accepts nor reclaims.
+        version: The number of the current view, counted from 1.
     """
 
     def __init__(self, local: MemberRecord, total: ConnectionCounts, list_processes: ProcessLister) -> None:
@@ -76,19 +85,19 @@
     # Records of other processes
 
     def receive(self, record: MemberRecord) -> bool:
-        """Takes in a record; whether it was new, and so is to be passed on."""
+        """Store a record; return True if it is new and must be forwarded."""
         if record.name == self.local.name or record.name in self.departed:
             return False
         known = self.others.get(record.name)
         if known is not None and record.sent_at <= known.sent_at:
             return False
         self.others[record.name] = record
-        self._take(record)
+        self._receive_grants(record)
         self._remove(record.departed)
         return True
 
     def _remove(self, names: Iterable[str]) -> None:
-        """Removes processes that have ended.  One that has seen it is enough: a name is never used again."""
+        """Remove ended processes. The report of one process suffices, since a name is never reused."""
         for name in names:
             if name == self.local.name:
                 self.excluded = True
@@ -97,16 +106,20 @@
                 self.departed[name] = None
                 self.local = replace(self.local, departed=tuple(self.departed))
 
-    def _take(self, record: MemberRecord) -> None:
-        """Adds to the reserve what that process has granted since its last record."""
+    def _receive_grants(self, record: MemberRecord) -> None:
+        """Add to the reserve what that process has granted since its last record."""
         granted = record.granted.get(self.local.name, NO_CONNECTIONS)
-        news = granted.minus(self.local.received.get(record.name, NO_CONNECTIONS))
-        if news != NO_CONNECTIONS:
+        new_grant = granted.minus(self.local.received.get(record.name, NO_CONNECTIONS))
+        if new_grant != NO_CONNECTIONS:
             received = {**self.local.received, record.name: record.granted[self.local.name]}
-            self.local = replace(self.local, reserve=self.local.reserve.plus(news), received=received)
+            self.local = replace(self.local, reserve=self.local.reserve.plus(new_grant), received=received)
 
     def refresh(self, now: float) -> list[str]:
-        """Asks the system which processes exist; the names of those that have ended since."""
+        """Remove the processes that no longer exist according to the system, and reclaim their reserves.
+
+        Returns:
+            The names of the removed processes.
+        """
         existing = set(self.list_processes())
         ended = [name for name in self.others if name not in existing]
         self._remove(ended)
@@ -121,44 +134,52 @@
     # Roles
 
     def records(self) -> list[MemberRecord]:
-        """The records of this process and of all others."""
+        """Return the records of this process and of all others."""
         return [self.local, *self.others.values()]
 
     def responsive(self, now: float) -> list[MemberRecord]:
-        """The records of this process, and of the others that are not silent."""
-        return [self.local, *(record for record in self.others.values() if record.sent_at > now - SILENCE_TIMEOUT)]
+        """Return the records of this process, and of the others that are not silent."""
+        return [self.local, *(record for record in self.others.values() if record.sent_at > now - SILENCE_TIMEOUT_S)]
 
     def silent_processes(self, now: float) -> list[str]:
-        """Names of processes that exist and have sent no record of late."""
-        return [name for name, record in self.others.items() if record.sent_at <= now - SILENCE_TIMEOUT]
+        """Return the names of existing processes that have sent no record within SILENCE_TIMEOUT_S."""
+        return [name for name, record in self.others.items() if record.sent_at <= now - SILENCE_TIMEOUT_S]
 
     def leader(self) -> MemberRecord:
-        """The oldest process that exists, silent or not: all agree on it, as the system says which exist."""
+        """Return the record of the oldest existing process, silent or not.
+
+        All processes agree on it, since the system determines which processes exist.
+        """
         return min(self.records(), key=lambda record: record.seniority)
 
     def acceptor(self, now: float) -> str:
-        """The youngest responsive process that is ready and does not end; empty if there is none."""
-        able = [record for record in self.responsive(now) if record.ready and not record.ending]
-        return max(able, key=lambda record: record.seniority).name if able else ""
+        """Return the name of the youngest responsive process that is ready and not ending; empty if there is none."""
+        eligible = [record for record in self.responsive(now) if record.ready and not record.ending]
+        return max(eligible, key=lambda record: record.seniority).name if eligible else ""
 
     def may_accept(self, now: float) -> bool:
-        """Whether this process may accept connections now.
+        """Report whether this process may accept connections now.
 
-        Guards against a process that was stopped for a while and still holds its old view: its own record says how
-        long ago it last ran.
+        The lease guards against a process that was stopped for a while and still has an outdated view: the time in its
+        own record shows how long ago it last ran.
         """
         if not self.others:
             return self.local.ready and not self.excluded
-        return self.acceptor(now) == self.local.name and now <= self.local.sent_at + ACCEPT_LEASE and not self.excluded
+        is_acceptor = self.acceptor(now) == self.local.name
+        return is_acceptor and now <= self.local.sent_at + ACCEPT_LEASE_S and not self.excluded
 
     def next_order(self) -> int:
-        """The order of a process that comes now."""
+        """Return the order for a process that starts now."""
         return 1 + max(record.order for record in self.records())
 
     # Reserves
 
     def heartbeat(self, now: float, state: LocalState) -> MemberRecord:
-        """Updates the record of this process and grants what it can spare; the record to publish."""
+        """Update the record of this process and grant what it can spare.
+
+        Returns:
+            The record to publish.
+        """
         self.local = replace(
             self.local,
             sent_at=now,
@@ -173,7 +194,7 @@
         return self.local
 
     def resize(self, total: ConnectionCounts) -> None:
-        """Sets another total; the leader makes up the difference from its own reserve."""
+        """Set another total; the leader adds the difference to its own reserve, or takes it from there."""
         self.total = total
         self._reclaim()
 
@@ -181,11 +202,11 @@
         return ConnectionCounts(self.total.clients // SPARE_DIVISOR + 1, self.total.endpoints // SPARE_DIVISOR + 1)
 
     def _surplus(self) -> ConnectionCounts:
-        """What this process can grant; negative where it is short itself."""
+        """Return what this process can grant; negative if it needs more itself."""
         return self.local.reserve.minus(self.local.in_use.plus(self._minimum_spare()))
 
     def _distribute(self, now: float) -> None:
-        """Grants what is not needed here to the acceptor; the acceptor grants to those that are short."""
+        """Grant the surplus to the acceptor; if this is the acceptor or there is none, to those that need more."""
         acceptor = self.acceptor(now)
         if acceptor and acceptor != self.local.name:
             self._grant(acceptor, self._surplus().at_least_zero())
@@ -198,11 +219,11 @@
                 self._grant(record.name, smaller.at_least_zero())
 
     def _need_of(self, record: MemberRecord) -> ConnectionCounts:
-        """What a process is short of; grants that are under way count as its own."""
+        """Return what a process needs in addition to its reserve and to the grants that are in transit to it."""
         granted = self.local.granted.get(record.name, NO_CONNECTIONS)
-        under_way = granted.minus(record.received.get(self.local.name, NO_CONNECTIONS))
-        wanted = record.in_use.plus(self._minimum_spare())
-        return wanted.minus(record.reserve.plus(under_way))
+        in_transit = granted.minus(record.received.get(self.local.name, NO_CONNECTIONS))
+        required = record.in_use.plus(self._minimum_spare())
+        return required.minus(record.reserve.plus(in_transit))
 
     def _grant(self, name: str, counts: ConnectionCounts) -> None:
         if counts != NO_CONNECTIONS:
@@ -211,10 +232,10 @@
             self.local = replace(self.local, reserve=self.local.reserve.minus(counts), granted=granted)
 
     def _reclaim(self) -> None:
-        """Lets the leader take what no process has: the reserve of ended ones, or the difference to another total.
+        """As the leader, add what no process owns to the reserve: that of ended processes, or a change of the total.
 
-        Guards against granting twice: a grant of a process that has ended may still be on its way, and a process that
-        is not known yet may have received one.  So all that exist must first have confirmed its end.
+        Guards against granting connections twice: a grant from an ended process may still be in transit, and a process
+        that is not known here yet may have received one. So all existing processes must first have confirmed the end.
         """
         if self.excluded or self.leader().name != self.local.name or not self._departures_are_confirmed():
             return
@@ -222,7 +243,7 @@
         self.local = replace(self.local, reserve=self.local.reserve.plus(self.total.minus(owned)))
 
     def _departures_are_confirmed(self) -> bool:
-        """Whether every process that exists has said that it takes nothing more from the ended ones."""
+        """Report whether every existing process has confirmed that it accepts no more grants from the ended ones."""
         return all(
             name in self.others and set(self.departed) <= set(self.others[name].departed)
             for name in self.list_processes()
@@ -230,7 +251,10 @@
         )
 
     def _balance(self, record: MemberRecord) -> ConnectionCounts:
-        """The reserve with all grants taken back; the sum over all processes is constant."""
+        """Return the reserve before all grants among existing processes.
+
+        The sum over all processes does not depend on grants, not even on those in transit.
+        """
         balance = record.reserve
         for name, counts in record.granted.items():
             if name not in self.departed:
@@ -243,7 +267,7 @@
     # Report
 
     def report(self, now: float) -> list[str]:
-        """The view for operators, and a line for each process, the oldest first."""
+        """Return the lines that describe the view to operators, with one line for each process, the oldest first."""
         records = sorted(self.records(), key=lambda record: record.seniority)
         return [
             f"view: {self.version}",
--- a/ingress/process_group/peer_links.py
+++ b/ingress/process_group/peer_links.py
@@ -1,4 +1,4 @@
-"""The links of a process to the others of its ingress, and the sockets where they reach it."""
+"""The links of a process to the others of its ingress, and the sockets on which it accepts such links."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
     """Makes, accepts and keeps links.
 
     Attributes:
-        path: the socket where a process that takes over finds this one.
-        delegate: the process whose links these are.
-        links: those that are up.
-        presence: the announcement of this process.
-        messages_sent: over all links.
-        bytes_sent: over all links.
-        successor_server: accepts the process that takes over.
-        peer_server: accepts processes that do not take over.
-        connecting: attempts to connect, by the name of the other process.
+        path: The path of the socket to which a successor connects.
+        delegate: The handler of link events.
+        links: The open links.
+        presence: The announcement of this process.
+        messages_sent: The number of messages sent over all links.
+        bytes_sent: The number of bytes sent over all links.
+        loop: The event loop.
+        successor_server: Accepts links from successors that take over; None before `listen`.
+        peer_server: Accepts links from processes that do not take over; None if this process is not announced.
+        connecting: The tasks that connect to other processes, by the name of the other process.
     """
 
     def __init__(self, path: Path, delegate: LinkDelegate) -> None:
@@ -45,17 +46,23 @@
         self.connecting: dict[str, asyncio.Task[None]] = {}
 
     async def announce(self) -> None:
-        """Makes this process known; before it takes over, as one that is not known is given nothing."""
+        """Announce this process and accept links from other processes.
+
+        Precedes the takeover, since the other processes grant nothing to a process that is not announced.
+        """
         sock = self.presence.announce()
         if sock is None:
-            log.warning("other processes of this ingress can't reach this one")
+            log.warning(
+                "cannot create the socket %s: other processes of this ingress cannot connect to this one",
+                self.presence.socket_path(self.presence.name),
+            )
             return
         self.peer_server = await self.loop.create_unix_server(
             lambda: Link(self, is_newer=True, is_additional=True), sock=sock
         )
 
     def connect(self, name: str) -> None:
-        """Makes a lost link to an older process anew, one attempt at a time."""
+        """Reconnect to an older process after its link was lost, with one attempt at a time."""
         if name not in self.connecting:
             task = self.loop.create_task(self._connect(name))
             self.connecting[name] = task
@@ -69,11 +76,11 @@
                 await self.loop.sock_connect(sock, address)
             await self.loop.create_unix_connection(lambda: Link(self, is_newer=False, is_additional=True), sock=sock)
         except OSError as error:
-            log.info("process %s is not reached: %s", name, error)
+            log.info("cannot connect to process %s: %s", name, error)
             sock.close()
 
     async def open(self, handover: ReceivedHandover | None) -> None:
-        """Tells the predecessor, if there is one, that this process serves; and listens for the next process."""
+        """Notify the predecessor, if there is one, that this process serves, and listen for a successor."""
         if handover is not None:
             _, link = await self.loop.create_unix_connection(
                 lambda: Link(self, is_newer=False), sock=handover.connection
@@ -83,12 +90,15 @@
         await self.listen()
 
     async def listen(self) -> None:
-        """Lets the next process find this one; again, where one that came after had the socket and has ended."""
+        """Listen for a successor.
+
+        Called again after a successor has ended, since it had replaced the socket with its own.
+        """
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             self._bind(sock)
         except OSError as error:
-            log.warning("no process can take over from this one: %s", error)
+            log.warning("cannot listen on %s, so no process can take over from this one: %s", self.path, error)
             sock.close()
             return
         previous_server = self.successor_server
@@ -99,7 +109,7 @@
             previous_server.close()
 
     def _bind(self, sock: socket.socket) -> None:
-        """Binds under another name and renames, so that there is a socket at the path at any time."""
+        """Bind to a temporary name and rename the socket, so that there is a socket at the path at all times."""
         with short_socket_name(self.path.with_name(f"{self.path.name}.new.{os.getpid()}")) as name:
             temporary = Path(name)
             with contextlib.suppress(FileNotFoundError):
@@ -109,7 +119,7 @@
             temporary.rename(self.path)
 
     def broadcast(self, message: Message, skip: Link | None = None) -> None:
-        """Sends a message over all links but one."""
+        """Send a message over all links except `skip`."""
         receivers = [link for link in self.links if link is not skip]
         if not receivers:
             return
@@ -118,7 +128,7 @@
             link.send_line(line)
 
     def close(self) -> None:
-        """Closes all links and sockets, and takes the announcement back."""
+        """Close all links and sockets, and withdraw the announcement."""
         for server in (self.successor_server, self.peer_server):
             if server is not None:
                 server.close()
--- a/ingress/process_group/peer_messages.py
+++ b/ingress/process_group/peer_messages.py
@@ -1,6 +1,6 @@
-"""The messages that processes of one ingress send each other after a handover.
+"""The messages that the processes of one ingress exchange after a handover.
 
-Each is a JSON object; its keys are known to processes of other builds, and never change.
+Each is a JSON object. Processes of other builds read them, so the keys never change.
 """
 
 from __future__ import annotations
@@ -17,130 +17,137 @@
 
 
 class Message(Protocol):
-    """Anything that can be sent over a link."""
+    """A message that can be sent over a link."""
 
     def to_message(self) -> Mapping[str, Any]:
-        """The message as JSON knows it."""
+        """Return the message as a JSON object."""
 
 
 class ServingMessage(Struct, frozen=True):
-    """The sender serves now, in place of the receiver."""
+    """Notifies the predecessor that the sender serves in its place."""
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
+        """Return the message as a JSON object."""
         return {"serving": True}
 
 
 class UsageMessage(Struct, frozen=True):
-    """Quota that the sender, or another process that it passes on, has spent.
+    """Reports usage by the sender, or by another process whose usage it forwards.
 
     Attributes:
-        usage: the last step; read only by builds that keep no ledger.
-        totals: of the process that spent.
+        usage: The latest increment; only builds without a usage ledger read it.
+        totals: The totals of the process that spent the quota.
     """
 
     usage: QuotaUsage
     totals: UsageTotals
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
+        """Return the message as a JSON object."""
         return {"spent": astuple(self.usage), "total": self.totals.to_message()}
 
 
 class UsageTotalsMessage(Struct, frozen=True):
-    """Totals as they are received, or sent over a link that is made anew: the step in them is empty.
+    """Reports totals alone: as read from any usage message, or as sent over a new link with an empty increment.
 
     Attributes:
-        totals: of the process that spent.
+        totals: The totals of the process that spent the quota.
     """
 
     totals: UsageTotals
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
+        """Return the message as a JSON object, whose increment is empty."""
         totals = self.totals
-        empty_step = [totals.customer, totals.plan, totals.gateway_count, 0.0, False, 0, "", 0.0]
-        return {"spent": empty_step, "total": totals.to_message()}
+        empty_increment = [totals.customer, totals.plan, totals.gateway_count, 0.0, False, 0, "", 0.0]
+        return {"spent": empty_increment, "total": totals.to_message()}
 
 
-class UsageStepMessage(Struct, frozen=True):
-    """Quota that a process of a build that keeps no ledger has spent; it is only received.
+class UsageIncrementMessage(Struct, frozen=True):
+    """Reports usage by a process of a build without a usage ledger; this build receives it but never sends it.
 
     Attributes:
-        usage: the step.
+        usage: The increment.
     """
 
     usage: QuotaUsage
 
 
 class DrainMessage(Struct, frozen=True):
-    """An operator has drained the ingress, or ended that.
+    """Reports that an operator has drained the ingress or ended the drain.
 
     Attributes:
-        enabled: drained.
-        requested_at: s of the machine's monotonic clock; None of a build that does not send it.
+        enabled: True if the ingress is drained.
+        requested_at: The time of the operator's request, in seconds of the machine's monotonic clock; None from a build
+            that does not send it.
     """
 
     enabled: bool
     requested_at: float | None = None
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
+        """Return the message as a JSON object."""
         return {"drain": self.enabled, "at": self.requested_at}
 
 
 class ChangeMessage(Struct, frozen=True):
-    """A step of an agreement on a change of the configuration; see `agreement_messages`.
+    """Carries a message of the agreement on a configuration change.
 
     Attributes:
-        step: the message of the agreement, as it is sent.
+        step: The encoded message; see `agreement_messages`.
     """
 
     step: Mapping[str, Any]
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
+        """Return the message as a JSON object."""
         return {"change": self.step}
 
 
 class MemberMessage(Struct, frozen=True):
-    """The record of a process.
+    """Carries the member record of a process.
 
     Attributes:
-        fields: as they are sent, with those that this build does not know, so that they can be passed on.
-        is_sender: the record is the sender's own, and not passed on.
+        fields: The encoded record, with fields that this build does not know, so that they are forwarded unchanged.
+        is_own_record: True if the record describes the sender itself; False if the sender forwards it.
     """
 
     fields: Mapping[str, Any]
-    is_sender: bool
+    is_own_record: bool
 
     def record(self) -> MemberRecord:
-        """The record; raises as `read_member_record` does."""
+        """Decode the record.
+
+        Raises:
+            KeyError: A field is missing; see `read_member_record`.
+            TypeError: A field is missing or has the wrong type.
+            ValueError: A field has an invalid value.
+        """
         return read_member_record(self.fields)
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
-        return {"row": self.fields, "own": self.is_sender}
+        """Return the message as a JSON object."""
+        return {"row": self.fields, "own": self.is_own_record}
 
 
 class ResourcesMessage(Struct, frozen=True):
-    """What the sender has in use, for a build that keeps no membership.
+    """Reports the resources that the sender has in use, for a build without membership.
 
     Attributes:
-        in_use: connections of clients, connections to endpoints, bytes.
+        in_use: The numbers of client connections, of connections to endpoints, and of bytes.
     """
 
     in_use: tuple[int, ...]
 
     def to_message(self) -> dict[str, Any]:
-        """The message as it is sent."""
+        """Return the message as a JSON object."""
         return {"held": list(self.in_use)}
 
 
 PeerMessage: TypeAlias = (
     ServingMessage
     | UsageTotalsMessage
-    | UsageStepMessage
+    | UsageIncrementMessage
     | DrainMessage
     | ChangeMessage
     | MemberMessage
@@ -149,12 +156,14 @@
 
 
 def read_peer_message(message: Any) -> PeerMessage | None:
-    """Reads a message of another process; None for one that this build does not know.
+    """Decode a message from another process.
+
+    Returns:
+        The message; None if this build does not know its kind.
 
     Raises:
-        KeyError: a key is missing.
-        TypeError: a value is of another type.
-        ValueError: a value is out of range.
+        TypeError: A value has the wrong type.
+        ValueError: A value is out of range, or a list has the wrong length.
     """
     found: PeerMessage | None = None
     match message:
@@ -162,16 +171,16 @@
             found = ServingMessage()
         case {"spent": _, "total": totals}:
             found = UsageTotalsMessage(read_usage_totals(totals))
-        case {"spent": step}:
-            found = UsageStepMessage(QuotaUsage(*step))
+        case {"spent": increment}:
+            found = UsageIncrementMessage(QuotaUsage(*increment))
         case {"drain": enabled, "at": requested_at}:
             found = DrainMessage(bool(enabled), float(requested_at))
         case {"drain": enabled}:
             found = DrainMessage(bool(enabled))
         case {"change": step}:
             found = ChangeMessage(step)
-        case {"row": fields, "own": is_sender}:
-            found = MemberMessage(fields, bool(is_sender))
+        case {"row": fields, "own": is_own_record}:
+            found = MemberMessage(fields, bool(is_own_record))
         case {"held": in_use}:
             found = ResourcesMessage(tuple(in_use))
     return found
--- a/ingress/process_group/presence.py
+++ b/ingress/process_group/presence.py
@@ -1,7 +1,7 @@
-"""Presence: a process announces itself to the system, and asks it which others of its ingress exist.
+"""Presence: how a process announces itself on the machine and finds the other processes of its ingress.
 
-The processes of an ingress find each other in one directory.  Each has a socket there, named after its process id and
-the time at which the system started it, so that an id which is used again makes another name.
+The processes of an ingress find each other in one directory. Each has a socket there, named after its process id and
+the time at which the system started it, so that a reused process id yields a different name.
 """
 
 from __future__ import annotations
@@ -13,25 +13,26 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-STATE_FIELD = 0  # of /proc/PID/stat, counted behind the command's name
-START_TIME_FIELD = 19
+# Positions of fields in /proc/PID/stat, counted from the first field after the command name.
+STATE_INDEX = 0
+START_TIME_INDEX = 19
 ENDED_STATES = "ZX"  # zombie, dead
 SOCKET_MODE = 0o600
 
 
 def start_ticks_of(pid: int) -> int | None:
-    """When the system started a process, in its clock ticks; None if there is none, or it has ended."""
+    """Return the time at which the system started a process, in clock ticks; None if it does not exist or has ended."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8", errors="replace")
         fields = text.rpartition(")")[2].split()
-        return None if fields[STATE_FIELD] in ENDED_STATES else int(fields[START_TIME_FIELD])
+        return None if fields[STATE_INDEX] in ENDED_STATES else int(fields[START_TIME_INDEX])
     except (OSError, ValueError, IndexError):
         return None
 
 
 @contextlib.contextmanager
 def short_socket_name(path: Path) -> Iterator[str]:
-    """A name for the path that fits into a socket's address, however long the path is."""
+    """Provide a name for the path that fits into a Unix socket address, however long the directory's path is."""
     directory = os.open(path.parent, os.O_PATH | os.O_DIRECTORY)
     try:
         yield f"/proc/self/fd/{directory}/{path.name}"
@@ -43,10 +44,11 @@
     """The announcement of one process of an ingress.
 
     Attributes:
-        path: the path that is common to all processes of the ingress; their sockets' names begin with it.
-        pid: the process id.
-        start_ticks: when the system started the process.
-        name: its name among the processes of the ingress.
+        instances: Counts the instances in this operating system process, to keep their names apart.
+        path: The path that is common to all processes of the ingress; the names of their sockets begin with it.
+        pid: The process id.
+        start_ticks: The time at which the system started the process, in clock ticks; 0 if it is unknown.
+        name: The name of the process, unique among the processes of the ingress.
     """
 
     instances = itertools.count()
@@ -55,15 +57,15 @@
         self.path = path
         self.pid = os.getpid()
         self.start_ticks = start_ticks_of(self.pid) or 0
-        number = next(self.instances)  # tests run several in one process
+        number = next(self.instances)  # tests run several instances in one process
         self.name = f"{self.pid}-{self.start_ticks}" + (f"-{number}" if number else "")
 
     def socket_path(self, name: str) -> Path:
-        """The socket at which the process of that name is reached."""
+        """Return the path of the socket on which the process of that name accepts links."""
         return self.path.with_name(f"{self.path.name}.{name}")
 
     def announce(self) -> socket.socket | None:
-        """Makes this process known, and returns its socket; None where the directory takes no socket."""
+        """Announce this process; return its socket, or None if it cannot be created in the directory."""
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
             with short_socket_name(self.socket_path(self.name)) as name:
@@ -75,7 +77,7 @@
         return sock
 
     def list_processes(self) -> list[str]:
-        """The names of all processes of the ingress that exist; sockets of ended ones are deleted."""
+        """Return the names of all existing processes of the ingress, and delete the sockets of ended ones."""
         try:
             entries = list(self.path.parent.iterdir())
         except OSError:
@@ -97,6 +99,6 @@
         return found
 
     def withdraw(self) -> None:
-        """Takes the announcement back."""
+        """Withdraw the announcement by deleting the socket."""
         with contextlib.suppress(OSError):
             self.socket_path(self.name).unlink()
--- a/ingress/process_group/process_group.py
+++ b/ingress/process_group/process_group.py
@@ -1,7 +1,7 @@
-"""The process group: this process among the others of its ingress, while one build replaces another.
+"""The process group: coordinates this process with the others of its ingress while one build replaces another.
 
-Several processes then serve one address together.  They agree on which of them accepts, how many connections each may
-have open, what of the quotas is spent, whether an operator has drained them, and which configuration they run.
+During that time several processes serve one address. They agree on which of them accepts, how many connections each may
+have open, how much of the quotas is spent, whether an operator has drained them, and which configuration they run.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from ingress.process_group.handover_messages import HandoverMessage
 from ingress.process_group.link import Link
 from ingress.process_group.member_record import NO_CONNECTIONS, ConnectionCounts, MemberRecord
-from ingress.process_group.membership import HEARTBEAT_INTERVAL, LocalState, Membership
+from ingress.process_group.membership import HEARTBEAT_INTERVAL_S, LocalState, Membership
 from ingress.process_group.peer_links import PeerLinks
 from ingress.process_group.peer_messages import (
     ChangeMessage,
@@ -32,8 +32,8 @@
     PeerMessage,
     ResourcesMessage,
     ServingMessage,
+    UsageIncrementMessage,
     UsageMessage,
-    UsageStepMessage,
     UsageTotalsMessage,
 )
 from ingress.process_group.presence import Presence
@@ -44,28 +44,29 @@
 
 log = logging.getLogger(__name__)
 
-RECONNECT_AFTER = 3 * HEARTBEAT_INTERVAL  # s without a record of an older process to which there is no link
-MIN_CONNECTIONS = 8  # that a process may have open before it is granted any; within the spare descriptors
-BUILD = "4"  # names the messages that this build understands
+# Time without a record from an older process, to which there is no link, before this process connects to it again.
+RECONNECT_DELAY_S = 3 * HEARTBEAT_INTERVAL_S
+MIN_CONNECTIONS = 8  # a process may have so many open before it is granted any; the spare descriptors cover them
+BUILD = "4"  # the version of the messages that this build understands
 
 
 class LocalProcess(Struct, frozen=True):
-    """The parts of this process that its group reads and controls.
+    """The parts of this process that the process group reads and controls.
 
     Attributes:
-        name: of the ingress, for the log.
-        clients: connections of clients.
-        endpoints: connections to endpoints.
-        memory: its bounds depend on the other processes.
-        agreement: on changes of the configuration.
-        feed: hands an event to the decision module.
-        is_ending: the process has been asked to end.
-        is_draining: an operator has drained the ingress.
-        persists_usage: usage is written to the checkpoint.
-        persist_usage: writes usage of another process there.
-        connection_limits: connections that all processes together may have open.
-        config_version: the number of the current configuration.
-        handover_message: the state for a process that takes over, without the group's own part.
+        name: The name of the ingress, for the log.
+        clients: The server of the client connections.
+        endpoints: The pool of connections to endpoints.
+        memory: The memory budget, which depends on the other processes.
+        agreement: The agreement on configuration changes.
+        feed: Passes an event to the decision module.
+        is_ending: Reports whether the process has been asked to end.
+        is_draining: Reports whether an operator has drained the ingress.
+        persists_usage: Reports whether usage is written to the checkpoint.
+        persist_usage: Writes usage by another process to the checkpoint.
+        connection_limits: Returns the connections that all processes together may have open.
+        config_version: Returns the version of the current configuration.
+        handover_message: Returns the state for a successor, without the part of the process group.
     """
 
     name: str
@@ -84,20 +85,28 @@
 
 
 class ProcessGroup:
-    """This process among the others of its ingress.
+    """Coordinates this process with the others of its ingress.
 
     Attributes:
-        links: to the other processes; None where the process is to stay alone.
-        ledger: what each process has spent.
-        membership: the view of the group; None before `open`.
-        successor: the process that accepts in place of this one.
-        last_drain_at: when the drain call was made that is in force (s, monotonic clock).
-        heartbeat_timer: for the next heartbeat.
-        listen_task: opens the handover socket again after the successor has ended.
+        local: The parts of this process.
+        loop: The event loop.
+        links: The links to the other processes; None if the process runs without a group.
+        ledger: The usage of each process.
+        membership: The view of the group; None before `open`.
+        successor: The link to the process that accepts in place of this one; None if there is none.
+        last_drain_at: The time of the latest drain or resume request, which is in force (monotonic clock, in seconds);
+            0 before the first.
+        heartbeat_timer: The timer of the next heartbeat.
+        listen_task: Opens the handover socket again after the successor has ended.
     """
 
     def __init__(self, local: LocalProcess, path: Path | None) -> None:
-        """`path`: where a process that takes over finds this one; None for a process that is to stay alone."""
+        """Create the group; nothing is sent before `open`.
+
+        Args:
+            local: The parts of this process.
+            path: The path of the socket to which a successor connects; None for a process without a group.
+        """
         self.local = local
         self.loop = asyncio.get_running_loop()
         self.links = None if path is None else PeerLinks(path, self)
@@ -109,7 +118,7 @@
         self.listen_task: asyncio.Task[None] | None = None
 
     async def open(self, handover: ReceivedHandover | None) -> None:
-        """Makes this process known to the others, and takes the place of its predecessor, if there is one."""
+        """Announce this process to the others, and replace its predecessor, if there is one."""
         if self.links is not None:
             await self.links.announce()
             predecessor = handover.message.member if handover is not None else None
@@ -118,17 +127,18 @@
             self._heartbeat()
 
     def close(self) -> None:
-        """Leaves the group."""
+        """Leave the group."""
         if self.links is not None:
             self.links.close()
         if self.heartbeat_timer is not None:
             self.heartbeat_timer.cancel()
 
     def _new_membership(self, presence: Presence, predecessor: MemberRecord | None) -> Membership:
-        """The view of a process that has just come.
+        """Return the view of a process that has just started.
 
-        After a predecessor that keeps a membership it has no reserve, and is granted what the others can spare; after
-        one of another build it has the whole, less what that one reports to have in use.
+        After a predecessor with membership it starts without a reserve and is granted what the others can spare. After
+        a predecessor of a build without membership, or none, its reserve is the total; `_apply_limits` subtracts what
+        such a predecessor reports to have in use.
         """
         total = self.local.connection_limits()
         record = MemberRecord(
@@ -148,17 +158,17 @@
     # Links to the other processes
 
     def predecessor(self) -> Link | None:
-        """The link to the process that came before this one, if it is there."""
+        """Return the link to a process that started before this one; None if there is none."""
         links = self.links.links if self.links is not None else ()
         return next((link for link in links if not link.is_newer), None)
 
     def successors(self) -> list[Link]:
-        """The links to the processes that came after this one."""
+        """Return the links to the processes that started after this one."""
         links = self.links.links if self.links is not None else ()
         return [link for link in links if link.is_newer]
 
     def handover_for_successor(self) -> tuple[socket.socket | None, HandoverMessage]:
-        """The listening socket where it is open, and the state for a process that takes over."""
+        """Return the listening socket, None if it is closed, and the state for a process that takes over."""
         message = self.local.handover_message()
         self.ledger.assign_uncounted_attempts(
             {
@@ -168,7 +178,7 @@
         )
         member = None
         if self.membership is not None:
-            member = self._local_record(monotonic())  # a process that was alone has published none for long
+            member = self._local_record(monotonic())  # while it was alone, this process did not update its record
         listener = self.local.clients.listening_socket
         return (
             listener if listener.fileno() >= 0 else None,
@@ -176,40 +186,43 @@
         )
 
     def links_changed(self) -> None:
-        """Another process has started or ended."""
+        """Accept again if the successor has ended, and adapt the decision module and the limits to the processes."""
         assert self.links is not None
         if self.successor is not None and self.successor not in self.links.links and not self._has_active_successor():
             self.successor = None
             if not self.local.is_ending():
-                log.warning("%s: the process that took over is gone", self.local.name)
+                log.warning(
+                    "%s: the successor has ended or is out of reach; accepting connections again", self.local.name
+                )
                 self.local.clients.set_accepting(True)
                 self.listen_task = self.loop.create_task(self.links.listen())
         self.notify_gateway()
         self._apply_limits()
 
     def link_made(self, link: Link) -> None:
-        """Sends what the other process may have missed."""
+        """Send the usage totals and the drain state, which the other process may have missed."""
         for totals in self.ledger.all_totals():
             link.send(UsageTotalsMessage(totals))
         if self.last_drain_at:
             link.send(DrainMessage(self.local.is_draining(), self.last_drain_at))
 
     def link_lost(self, link: Link) -> None:
-        """The other process has ended, or is out of reach."""
+        """Handle the loss of a link, because the other process has ended or cannot be reached."""
         self.local.agreement.link_lost(link)
         if self.membership is not None:
             self._remove_departed(self.membership, monotonic())
         self.links_changed()
 
     def message_received(self, link: Link, message: PeerMessage) -> None:
-        """Takes in a message of another process."""
+        """Handle a message from another process."""
         match message:
             case ServingMessage():
                 self._successor_serves(link)
             case UsageTotalsMessage(totals=totals):
                 for usage in self.ledger.receive(totals):
                     self._usage_received(usage, totals, link)
-            case UsageStepMessage(usage=usage):  # counts as usage of this process
+            case UsageIncrementMessage(usage=usage):
+                # The sender keeps no totals, so its usage is counted in the totals of this process.
                 self._usage_received(usage, self.ledger.record(usage), link)
             case DrainMessage(enabled=enabled, requested_at=requested_at):
                 if requested_at is not None or enabled is not self.local.is_draining():
@@ -225,18 +238,18 @@
     def _successor_serves(self, link: Link) -> None:
         self.successor = link
         self.local.clients.set_accepting(False)
-        log.info("%s: another process takes over", self.local.name)
+        log.info("%s: a successor serves now; no longer accepting connections", self.local.name)
         self.links_changed()
 
     # Drain
 
     def drain_all(self, enabled: bool, at: float | None = None, sender: Link | None = None) -> None:
-        """Drains all processes, or ends that; of several calls the latest is in force.
+        """Drain all processes or end the drain; of several requests the latest is in force.
 
         Args:
-            enabled: drain.
-            at: when an operator called (s, monotonic clock); None for now.
-            sender: the process that has sent it, if any; it is not sent there again.
+            enabled: True to drain, False to end the drain.
+            at: The time of the operator's request (monotonic clock, in seconds); None for now.
+            sender: The link over which the request arrived, if any; the request is not sent back over it.
         """
         requested_at = monotonic() if at is None else at
         if requested_at <= self.last_drain_at:
@@ -249,7 +262,7 @@
     # Usage
 
     def usage_spent(self, usage: QuotaUsage) -> None:
-        """This process has spent quota: the others take it from their buckets."""
+        """Report quota that this process has spent to the others, which subtract it from their buckets."""
         self._broadcast_usage(usage, self.ledger.record(usage))
 
     def _usage_received(self, usage: QuotaUsage, totals: UsageTotals, sender: Link) -> None:
@@ -264,46 +277,46 @@
     # Membership
 
     def notify_gateway(self) -> None:
-        """Tells the decision module how many other processes there are, and whether one of them accepts."""
+        """Notify the decision module of the number of other processes, and whether a successor accepts."""
         others = len(self.membership.others) if self.membership is not None else 0
         links = len(self.links.links) if self.links is not None else 0
         has_successor = self.successor is not None
         self.local.feed(ProcessGroupChanged(max(others, links), has_successor, self.local.persists_usage()))
 
     def _heartbeat(self) -> None:
-        """Publishes the record of this process, and finds out which others exist."""
+        """Publish the record of this process, and update the view of the others."""
         assert self.links is not None
         assert self.membership is not None
-        self.heartbeat_timer = self.loop.call_later(HEARTBEAT_INTERVAL, self._heartbeat)
+        self.heartbeat_timer = self.loop.call_later(HEARTBEAT_INTERVAL_S, self._heartbeat)
         now = monotonic()
         if not self.links.links and not self.membership.others:
             self.ledger.clear()
             return
         self._remove_departed(self.membership, now)
         record = self._local_record(now)
-        self.links.broadcast(MemberMessage(record.to_message(), is_sender=True))
+        self.links.broadcast(MemberMessage(record.to_message(), is_own_record=True))
         self.links.broadcast(ResourcesMessage((*record.in_use, record.memory)))
         self._reconnect(now)
         self._apply_view(now)
 
     def _reconnect(self, now: float) -> None:
-        """Makes lost links to older processes anew.
+        """Reconnect to older processes whose links were lost.
 
-        Guards against a second link to the same process: usage would be sent over both.
+        Guards against a second link to the same process, since usage would be sent over both.
         """
         assert self.links is not None
         assert self.membership is not None
         linked = {link.name for link in self.links.links}
         for other in self.membership.others.values():
-            may_be_linked = other.name in linked or "" in linked  # a link without a name may lead to any process
+            may_be_linked = other.name in linked or "" in linked  # a link that has no name yet may lead to any process
             is_older = other.order < self.membership.local.order
-            if is_older and not may_be_linked and now - other.sent_at > RECONNECT_AFTER:
+            if is_older and not may_be_linked and now - other.sent_at > RECONNECT_DELAY_S:
                 self.links.connect(other.name)
 
     def _remove_departed(self, membership: Membership, now: float) -> None:
-        """Finishes the open attempts of processes that have ended."""
+        """Remove ended processes from the view and finish their open attempts."""
         for name in membership.refresh(now):
-            log.info("%s: process %s is gone", self.local.name, name)
+            log.info("%s: process %s has ended", self.local.name, name)
             for usage in self.ledger.process_ended(name):
                 self.local.feed(usage)
 
@@ -319,7 +332,7 @@
         return self.membership.heartbeat(now, state)
 
     def _has_active_successor(self) -> bool:
-        """Whether a process that came later serves, whatever became of the link to it."""
+        """Report whether a process that started later serves, even if the link to it was lost."""
         return self.membership is not None and any(
             record.order > self.membership.local.order and record.ready and not record.ending
             for record in self.membership.responsive(monotonic())
@@ -330,7 +343,7 @@
         record = message.record()
         if self.membership is None or self.links is None:
             return
-        if message.is_sender and not link.name:
+        if message.is_own_record and not link.name:
             link.name = record.name
             if not link.is_newer and self._is_linked_elsewhere(link):
                 link.close()
@@ -338,20 +351,21 @@
         is_new_process = record.name not in self.membership.others
         if not self.membership.receive(record):
             return
-        self.links.broadcast(MemberMessage(message.fields, is_sender=False), link)
-        if is_new_process and self.heartbeat_timer is not None:  # it waits for its reserve
+        self.links.broadcast(MemberMessage(message.fields, is_own_record=False), link)
+        if is_new_process and self.heartbeat_timer is not None:
+            # The new process waits for its reserve, so the next heartbeat is sent at once.
             self.heartbeat_timer.cancel()
             self._heartbeat()
         else:
             self._apply_view(monotonic())
 
     def _is_linked_elsewhere(self, link: Link) -> bool:
-        """Whether there is another link to the same process."""
+        """Report whether there is another link to the same process."""
         assert self.links is not None
         return any(other.name == link.name for other in self.links.links if other is not link)
 
     def _apply_view(self, now: float) -> None:
-        """Accepts or stops accepting, and sets the bounds, as the membership says."""
+        """Start or stop accepting according to the membership, and apply the limits."""
         assert self.membership is not None
         if self.membership.others:
             accepts = self.membership.may_accept(now)
@@ -360,13 +374,13 @@
         self.links_changed()
 
     def resize(self) -> None:
-        """Applies other totals of the configuration."""
+        """Apply changed connection limits of the configuration."""
         if self.membership is not None:
             self.membership.resize(self.local.connection_limits())
         self._apply_limits()
 
     def _apply_limits(self) -> None:
-        """Bounds connections and memory, so that all processes together keep within the totals."""
+        """Limit connections and memory of this process, so that all processes together stay within the totals."""
         records = list(self.membership.others.values()) if self.membership is not None else []
         reported = self._reported_by_older_builds({record.name for record in records})
         reserve = self.membership.local.reserve if self.membership is not None else self.local.connection_limits()
@@ -379,6 +393,6 @@
         self.local.memory.used_elsewhere = sum(record.memory for record in records) + reported_memory
 
     def _reported_by_older_builds(self, members: set[str]) -> list[tuple[int, ...]]:
-        """What processes that keep no membership have in use: client and endpoint connections, bytes."""
+        """Return the client connections, endpoint connections and bytes that each process without membership uses."""
         links = self.links.links if self.links is not None else ()
         return [link.reported_usage for link in links if link.reported_usage and link.name not in members]
--- a/ingress/process_group/usage_ledger.py
+++ b/ingress/process_group/usage_ledger.py
@@ -1,12 +1,12 @@
-"""The usage ledger: how the processes of one ingress share what they spend, so that each unit counts once at each.
+"""The usage ledger: shares usage between the processes of one ingress, so that each process counts each unit once.
 
-Pure: totals come in and go out.  A message carries totals, not steps: how much its process has spent for one customer,
-and how many attempts it has started and finished, since the two of them met.  So a message may be lost, come twice,
-late, out of order or over two paths at once: the receiver counts what exceeds the totals that it knew, and the next
-message makes up for one that was lost.  On a link that is made anew, each side sends all its totals once.
+This module does no I/O: it consumes and produces totals. A message carries totals rather than increments: how much its
+process has spent for one customer, and how many attempts it has started and finished, within one epoch. So messages may
+be lost, or arrive twice, late, out of order or over two paths at once: the receiver counts what exceeds the totals that
+it knew, and the next message makes up for a lost one. Over a new link, each side sends all its totals once.
 
-Totals are kept by epoch: a process begins a new one whenever the last is full, and the last two of each process are
-kept.  So the memory is bounded, and only a link that was down for a whole epoch can miss usage.
+Totals are kept by epoch. A process begins a new epoch whenever the latest is full, and the latest two epochs of each
+process are retained. This bounds the memory; only a link that was down for a complete epoch can miss usage.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 from ingress.decisions.handover_state import QuotaUsage
 from ingress.process_group.errors import MessageError
 
-MAX_EPOCH_ENTRIES = 20_000  # customers and endpoints of an epoch
-RETAINED_EPOCHS = 2  # of each process
-MIN_UNITS = 1e-9  # a smaller difference of units is rounding
-MAX_UNITS = 1e15  # no total is larger
+MAX_EPOCH_ENTRIES = 20_000  # customers and warming endpoints together, in one epoch of one process
+RETAINED_EPOCHS_PER_PROCESS = 2
+MIN_UNITS = 1e-9  # a smaller difference of units is a rounding error
+MAX_UNITS = 1e15  # totals with more units are invalid
 
 
 class UsageTotals(Struct, frozen=True):
-    """Totals of one process for one customer in one epoch; sent as the list of its fields, in this order.
+    """Totals of one process for one customer in one epoch; sent as the list of the fields, in this order.
 
     Attributes:
-        process: the name of the process that spent.
-        epoch: the number of its epoch.
-        customer: whose quota.
-        plan: the name of the customer's plan.
-        gateway_count: gateways that share the quota.
-        units: spent.
-        within_quota_units: those of `units` that came from the quota.
-        attempts_started: how many.
-        attempts_finished: how many.
-        endpoint_id: a warming endpoint, if any.
-        slow_start_work: spent of that endpoint's slow start budget, in mean requests.
+        process: The name of the process that spent the units.
+        epoch: The number of the epoch of that process.
+        customer: The customer whose quota was spent.
+        plan: The name of the customer's plan.
+        gateway_count: The number of gateways that share the quota.
+        units: The units spent.
+        within_quota_units: The part of `units` that came from the quota.
+        attempts_started: The number of attempts started.
+        attempts_finished: The number of attempts finished.
+        endpoint_id: The id of a warming endpoint; empty for none.
+        slow_start_work: The work spent from that endpoint's slow start budget, in mean requests.
     """
 
     process: str
@@ -56,16 +56,16 @@
     slow_start_work: float = 0.0
 
     def to_message(self) -> list[Any]:
-        """The totals as they are sent."""
+        """Return the totals as a JSON list."""
         return list(astuple(self))
 
 
 def read_usage_totals(message: Sequence[Any]) -> UsageTotals:
-    """Reads totals that were sent.
+    """Decode totals from another process.
 
     Raises:
-        TypeError: a field is of another type.
-        ValueError: there are more or fewer fields, or a field has a value that it can't have.
+        TypeError: A field has the wrong type.
+        ValueError: There are too many or too few fields, or a field has an invalid value.
     """
     process, epoch, customer, plan, gateway_count, units, within_quota, started, finished, endpoint_id, work = message
     totals = UsageTotals(
@@ -82,12 +82,12 @@
         float(work),
     )
     if not 0.0 <= totals.within_quota_units <= totals.units + MIN_UNITS < MAX_UNITS:
-        raise MessageError(f"no usage totals: {message!r:.80}")
+        raise MessageError(f"units or units within the quota are out of range in usage totals: {message!r:.80}")
     return totals
 
 
 class CustomerTotals(Struct):
-    """What one process has spent for one customer in one epoch; the fields are those of `UsageTotals`."""
+    """The totals of one process for one customer in one epoch; `UsageTotals` describes the fields."""
 
     customer: str
     plan: str
@@ -99,7 +99,13 @@
 
 
 class OpenAttempts(Struct, frozen=True):
-    """A customer's attempts that are under way, of all processes together."""
+    """A customer's attempts in flight.
+
+    Attributes:
+        plan: The name of the customer's plan.
+        gateway_count: The number of gateways that share the quota.
+        count: The number of attempts in flight, over all processes.
+    """
 
     plan: str
     gateway_count: int
@@ -107,31 +113,34 @@
 
 
 class LedgerEpoch(Struct):
-    """What one process has spent in one epoch, as far as is known here.
+    """The usage of one process in one epoch, as far as this process is aware of it.
 
     Attributes:
-        number: counts the epochs of the process.
-        customers: by customer.
-        slow_start_work: in mean requests, by warming endpoint.
+        number: The number of the epoch, which increases with each epoch of the process.
+        customers: The totals by customer.
+        slow_start_work: The work spent from slow start budgets, in mean requests, by id of the warming endpoint.
     """
 
     number: int
     customers: dict[str, CustomerTotals] = field(default_factory=dict)
     slow_start_work: dict[str, float] = field(default_factory=dict)
 
-    def full(self) -> bool:
-        """Whether the next entry belongs into a new epoch."""
+    def is_full(self) -> bool:
+        """Report whether further usage belongs to a new epoch."""
         return len(self.customers) + len(self.slow_start_work) >= MAX_EPOCH_ENTRIES
 
     def customer(self, name: str, plan: str, gateway_count: int) -> CustomerTotals:
-        """The totals of a customer, begun at 0 if it is new; the plan counts only then."""
-        found = self.customers.get(name)
-        if found is None:
-            found = self.customers[name] = CustomerTotals(name, plan, gateway_count)
-        return found
+        """Return the totals of a customer, creating them at 0 if the customer is new.
+
+        `plan` and `gateway_count` are used only in that case.
+        """
+        totals = self.customers.get(name)
+        if totals is None:
+            totals = self.customers[name] = CustomerTotals(name, plan, gateway_count)
+        return totals
 
     def totals(self, process: str, customer: CustomerTotals, endpoint_id: str = "") -> UsageTotals:
-        """The message with one customer's totals, and those of one endpoint."""
+        """Return the totals of one customer, together with the slow start work of one endpoint, to be sent."""
         return UsageTotals(
             process,
             self.number,
@@ -147,7 +156,7 @@
         )
 
     def all_totals(self, process: str) -> Iterator[UsageTotals]:
-        """The messages with all totals of the epoch."""
+        """Yield all totals of the epoch, to be sent."""
         endpoints = iter(self.slow_start_work)
         last: CustomerTotals | None = None
         for customer in self.customers.values():
@@ -157,8 +166,8 @@
             yield from (self.totals(process, last, endpoint_id) for endpoint_id in endpoints)
 
 
-class UsageNews(Struct, frozen=True):
-    """What totals that were received exceed the known ones by."""
+class UsageIncrease(Struct, frozen=True):
+    """The amounts by which received totals exceed the known ones."""
 
     units: float
     within_quota_units: float
@@ -167,21 +176,21 @@
     slow_start_work: float
 
     def is_empty(self) -> bool:
-        """Whether the totals were known."""
+        """Report whether the received totals contain nothing new."""
         return not (self.units > MIN_UNITS or self.started or self.finished or self.slow_start_work)
 
 
 class UsageLedger:
-    """The totals of one process, and those that it has received of the others.
+    """The totals of this process, and those that it has received from the others.
 
     Attributes:
-        name: of this process.
-        epochs: by process, the oldest first.
-        carried: attempts that were open at the end of epochs that are no longer kept, by process and customer.
-        ended: processes that have ended; their attempts count as finished, whatever still comes in of them.
-        sent_count: messages made.
-        received_count: messages received.
-        duplicate_count: messages received that held nothing new.
+        name: The name of this process.
+        epochs: The retained epochs by process, the oldest first.
+        carried: The numbers of attempts still open when their epoch was dropped, by process and customer.
+        ended: The names of ended processes; all their attempts count as finished, even if more are reported later.
+        sent_count: The number of messages created.
+        received_count: The number of messages received.
+        duplicate_count: The number of received messages that contained nothing new.
     """
 
     def __init__(self, name: str) -> None:
@@ -194,25 +203,29 @@
         self.duplicate_count = 0
 
     def _local_epoch(self) -> LedgerEpoch:
-        """The epoch of this process to which its next usage belongs."""
+        """Return the epoch to which the next usage of this process belongs."""
         epochs = self.epochs.setdefault(self.name, [LedgerEpoch(0)])
-        return self._begin_epoch(self.name, epochs[-1].number + 1) if epochs[-1].full() else epochs[-1]
+        return self._begin_epoch(self.name, epochs[-1].number + 1) if epochs[-1].is_full() else epochs[-1]
 
     def _begin_epoch(self, name: str, number: int) -> LedgerEpoch:
-        """Begins an epoch and drops old ones; their open attempts are carried over, to finish in a later one."""
+        """Begin an epoch and drop old ones, carrying over their open attempts, which finish in a later epoch."""
         epochs = self.epochs.setdefault(name, [])
         epochs.append(LedgerEpoch(number))
-        for dropped in epochs[:-RETAINED_EPOCHS]:
+        for dropped in epochs[:-RETAINED_EPOCHS_PER_PROCESS]:
             carried = self.carried.setdefault(name, {})
             for customer in dropped.customers.values():
                 count = carried.pop(customer.customer, 0) + customer.started - customer.finished
                 if count:
                     carried[customer.customer] = count
-        del epochs[:-RETAINED_EPOCHS]
+        del epochs[:-RETAINED_EPOCHS_PER_PROCESS]
         return epochs[-1]
 
     def record(self, usage: QuotaUsage) -> UsageTotals:
-        """Counts usage of this process; the message for the others."""
+        """Count usage of this process.
+
+        Returns:
+            The totals to send to the other processes.
+        """
         epoch = self._local_epoch()
         customer = epoch.customer(usage.customer, usage.plan, usage.gateway_count)
         customer.plan = usage.plan
@@ -229,49 +242,57 @@
         return epoch.totals(self.name, customer, endpoint_id)
 
     def receive(self, totals: UsageTotals) -> list[QuotaUsage]:
-        """Counts totals of another process; what is new in them, to be taken from the local buckets."""
+        """Count totals received from another process.
+
+        Returns:
+            The usage that is new in them, to be subtracted from the local buckets.
+        """
         self.received_count += 1
         epoch = None if totals.process == self.name else self._epoch_of(totals.process, totals.epoch)
         if epoch is None:
             self.duplicate_count += 1
             return []
-        news = self._apply(epoch, totals)
-        if news.is_empty():
+        increase = self._apply(epoch, totals)
+        if increase.is_empty():
             self.duplicate_count += 1
             return []
-        return self._usages(totals, news)
+        return self._to_events(totals, increase)
 
-    def _apply(self, epoch: LedgerEpoch, totals: UsageTotals) -> UsageNews:
-        """Raises the known totals to those received; the difference."""
+    def _apply(self, epoch: LedgerEpoch, totals: UsageTotals) -> UsageIncrease:
+        """Raise the known totals to the received ones; return the difference."""
         customer = epoch.customer(totals.customer, totals.plan, totals.gateway_count)
         known_work = epoch.slow_start_work.get(totals.endpoint_id, 0.0)
-        news = UsageNews(
+        increase = UsageIncrease(
             units=max(0.0, totals.units - customer.units),
             within_quota_units=max(0.0, totals.within_quota_units - customer.within_quota_units),
             started=max(0, totals.attempts_started - customer.started),
             finished=max(0, totals.attempts_finished - customer.finished),
             slow_start_work=max(0.0, totals.slow_start_work - known_work) if totals.endpoint_id else 0.0,
         )
-        if news.is_empty():
-            return news
+        if increase.is_empty():
+            return increase
         customer.plan = totals.plan
         customer.gateway_count = totals.gateway_count
-        customer.units += news.units
-        customer.within_quota_units += news.within_quota_units
-        customer.started += news.started
-        customer.finished += news.finished
-        if news.slow_start_work:
-            epoch.slow_start_work[totals.endpoint_id] = known_work + news.slow_start_work
-        return news
-
-    def _usages(self, totals: UsageTotals, news: UsageNews) -> list[QuotaUsage]:
-        """The news as events: one for units within the quota, one for those over it; the first has the rest."""
-        attempts_delta = 0 if totals.process in self.ended else news.started - news.finished
-        within = news.within_quota_units
-        over = news.units - within
-        parts = [(within, True)] if within > MIN_UNITS else []
-        if over > MIN_UNITS or not parts:
-            parts.append((max(0.0, over), False))
+        customer.units += increase.units
+        customer.within_quota_units += increase.within_quota_units
+        customer.started += increase.started
+        customer.finished += increase.finished
+        if increase.slow_start_work:
+            epoch.slow_start_work[totals.endpoint_id] = known_work + increase.slow_start_work
+        return increase
+
+    def _to_events(self, totals: UsageTotals, increase: UsageIncrease) -> list[QuotaUsage]:
+        """Convert an increase to events: one for units within the quota, and one for units beyond it.
+
+        Each is left out if it has no units, but there is at least one. The first event also carries the change of the
+        attempts in flight and the slow start work.
+        """
+        attempts_delta = 0 if totals.process in self.ended else increase.started - increase.finished
+        within_quota_units = increase.within_quota_units
+        over_quota_units = increase.units - within_quota_units
+        parts = [(within_quota_units, True)] if within_quota_units > MIN_UNITS else []
+        if over_quota_units > MIN_UNITS or not parts:
+            parts.append((max(0.0, over_quota_units), False))
         (first_units, first_within), *others = parts
         usages = [
             QuotaUsage(
@@ -282,7 +303,7 @@
                 first_within,
                 attempts_delta,
                 totals.endpoint_id,
-                news.slow_start_work,
+                increase.slow_start_work,
             )
         ]
         usages += (
@@ -292,7 +313,7 @@
         return usages
 
     def _epoch_of(self, name: str, number: int) -> LedgerEpoch | None:
-        """An epoch of another process, begun if it is new; None for one that is no longer kept."""
+        """Return an epoch of another process, beginning it if it is new; None if it is no longer retained."""
         epochs = self.epochs.setdefault(name, [])
         for epoch in epochs:
             if epoch.number == number:
@@ -300,13 +321,13 @@
         return None if epochs and number < epochs[-1].number else self._begin_epoch(name, number)
 
     def all_totals(self) -> Iterator[UsageTotals]:
-        """All totals of all processes, for a link that is made anew and for a process that takes over."""
+        """Yield all totals of all processes, for a new link or for a process that takes over."""
         for name, epochs in self.epochs.items():
             for epoch in epochs:
                 yield from epoch.all_totals(name)
 
     def open_attempts(self, name: str) -> dict[str, int]:
-        """Attempts of a process that are under way, by customer, where there are any."""
+        """Return the nonzero numbers of attempts that a process has in flight, by customer."""
         counts = dict(self.carried.get(name, {}))
         for epoch in self.epochs.get(name, ()):
             for customer in epoch.customers.values():
@@ -314,10 +335,10 @@
         return {customer: count for customer, count in counts.items() if count}
 
     def assign_uncounted_attempts(self, open_attempts: Mapping[str, OpenAttempts]) -> None:
-        """Counts attempts that no process has counted yet as those of this one, before it hands over.
+        """Count attempts in flight that no process has counted yet as attempts of this process, before it hands over.
 
         Args:
-            open_attempts: by customer, of all processes together.
+            open_attempts: The attempts in flight over all processes, by customer.
         """
         counted: dict[str, int] = {}
         for name in self.epochs:
@@ -332,7 +353,7 @@
                 totals.finished += max(0, -missing)
 
     def process_ended(self, name: str) -> list[QuotaUsage]:
-        """Finishes the open attempts of a process that has ended."""
+        """Record the end of a process; return the events that finish its attempts in flight."""
         if name in self.ended:
             return []
         self.ended.add(name)
@@ -345,14 +366,14 @@
         ]
 
     def load(self, all_totals: Iterable[UsageTotals]) -> None:
-        """Takes in what the predecessor knew: the buckets that came with it have counted it already."""
+        """Load the totals of the predecessor, which the buckets of the handover already include."""
         for totals in all_totals:
             self.receive(totals)
         self.received_count = 0
         self.duplicate_count = 0
 
     def clear(self) -> None:
-        """Forgets everything, where there is no other process: the next one is given the buckets as they stand."""
+        """Drop all totals. Used while there is no other process; the next one receives the current buckets anyway."""
         self.epochs.clear()
         self.carried.clear()
         self.ended.clear()
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -246,7 +246,7 @@
             writer.write(b'{"form": 0}\n')
 
         async with await asyncio.start_unix_server(script, path):
-            with pytest.raises(HandoverError, match="form"):
+            with pytest.raises(HandoverError, match="unsupported format version 0 of the handover message"):
                 await asyncio.to_thread(take_over, path)
 
     run(body())
