--- a/ingress/checkpoint/__init__.py
+++ b/ingress/checkpoint/__init__.py
@@ -1,1 +1,1 @@
-"""The checkpoint on disk: its format, the writer, and recovery after a crash."""
+"""Checkpoints on disk: the file format, the writer, and recovery after a crash."""
--- a/ingress/checkpoint/clock_readings.py
+++ b/ingress/checkpoint/clock_readings.py
@@ -1,4 +1,4 @@
-"""The clocks that tell how long ago a checkpoint was written."""
+"""Readings of the clocks from which the age of a checkpoint is computed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class ClockReadings(Struct, frozen=True):
-    """What the clocks say at one moment.
+    """The readings of all clocks at one moment.
 
     Attributes:
-        boot_id: another after each start of the machine.
-        since_boot: s since the machine started, asleep or not.
-        now: s of the decision module's clock (Unix time).
+        boot_id: The id of the machine's current boot, which differs after each boot.
+        since_boot: The seconds since the machine booted, including time in suspend.
+        now: The time of the decision module's clock, in seconds of Unix time.
     """
 
     boot_id: str
@@ -25,15 +25,15 @@
 
 
 def read_clocks(now: float) -> ClockReadings:
-    """Reads the machine's clocks; `now` is what the module's clock says."""
+    """Read the machine's clocks; `now` is the time of the decision module's clock."""
     return ClockReadings(read_boot_id(), seconds_since_boot(), now)
 
 
 def read_boot_id() -> str:
-    """The id of the machine's current run."""
+    """Read the id of the machine's current boot."""
     return BOOT_ID_PATH.read_text(encoding="ascii").strip()
 
 
 def seconds_since_boot() -> float:
-    """Seconds since the machine started, asleep or not."""
+    """Return the seconds since the machine booted, including time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/ingress/checkpoint/errors.py
+++ b/ingress/checkpoint/errors.py
@@ -1,4 +1,4 @@
-"""The errors of checkpoints."""
+"""Errors in the files of a checkpoint."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class CheckpointDamagedError(IngressError):
-    """A file does not hold what was written, or does not belong to the others; the text names it."""
+    """A file is damaged, or does not belong to the other files of the checkpoint; the message gives its path."""
--- a/ingress/checkpoint/format.py
+++ b/ingress/checkpoint/format.py
@@ -1,9 +1,11 @@
 """The format of a checkpoint's files.
 
-Each line of a file is a CRC-32, a blank and JSON.  Keys and the order of fields never change within a form.
+Each line of a file consists of a CRC-32 checksum, a blank and JSON. The keys and the order of the fields never change
+within a format version.
 
-- A snapshot: the header, lines with the states of customers, and a seal over all lines before it.
-- A log: the header, and a record for each usage; a record without usage says that the process lives.
+- A snapshot has a header, lines with the states of customers, and a seal with a digest of all lines before it.
+- A log has a header and a record for each usage. A record without usage is a heartbeat: it shows that the process was
+  alive at that time.
 """
 
 from __future__ import annotations
@@ -29,48 +31,52 @@
     write_handover_state,
 )
 
-FORM = 1  # the version of the format
-CHECKSUM_SIZE = 9  # bytes of a line's checksum, with the blank
-HEARTBEAT_FIELDS = 2  # of a record: its number and its time; usage has more
-CUSTOMER_FIELD = 2  # of a record with usage
+FORMAT_VERSION = 1
+CHECKSUM_PREFIX_BYTES = 9  # the checksum of a line and the blank after it
+# Positions in a log record. A heartbeat has only the first two fields; a record of usage has more.
+RECORD_NUMBER_INDEX = 0
+WRITTEN_AT_INDEX = 1
+CUSTOMER_INDEX = 2
+HEARTBEAT_FIELD_COUNT = 2
 MIN_SNAPSHOT_LINES = 2  # the header and the seal
-OPEN_ATTEMPTS = CustomerState.__struct_fields__.index("open_attempts")
+OPEN_ATTEMPTS_INDEX = CustomerState.__struct_fields__.index("open_attempts")
 
 
 def encode_line(source: Any) -> bytes:
-    """A line of a file."""
+    """Encode one line of a file."""
     text = json.dumps(source, separators=(",", ":")).encode()
     return b"%08x %b\n" % (crc32(text), text)
 
 
 def decode_lines(path: Path, data: bytes) -> Iterator[tuple[int, Any]]:
-    """Each line with its number, from 1.
+    """Yield the content of each line with its number, counted from 1.
 
     Raises:
-        CheckpointDamagedError: a line is not what was written, or not complete.
+        CheckpointDamagedError: A line has a wrong checksum or is incomplete.
+        ValueError: A line with a correct checksum does not contain JSON.
     """
     *texts, remainder = data.split(b"\n")
     for number, text in enumerate(texts, 1):
-        body = text[CHECKSUM_SIZE:]
-        if len(text) < CHECKSUM_SIZE or text[:CHECKSUM_SIZE] != b"%08x " % crc32(body):
-            raise CheckpointDamagedError(f"{path}: line {number} is not what was written")
+        body = text[CHECKSUM_PREFIX_BYTES:]
+        if len(text) < CHECKSUM_PREFIX_BYTES or text[:CHECKSUM_PREFIX_BYTES] != b"%08x " % crc32(body):
+            raise CheckpointDamagedError(f"{path}: line {number} does not match its checksum")
         yield number, json.loads(body)
     if remainder:
-        raise CheckpointDamagedError(f"{path}: line {len(texts) + 1} is not whole")
+        raise CheckpointDamagedError(f"{path}: line {len(texts) + 1} is incomplete: it does not end with a newline")
 
 
 class SnapshotHeader(Struct, frozen=True):
-    """The first line of a snapshot, but for the shared state that it holds as well.
+    """The first line of a snapshot, without the shared state that the line also contains.
 
     Attributes:
-        name: of the ingress.
-        token: names the snapshot; the token file has it too.
-        first_log: the number of the first log that goes with the snapshot.
-        last_record: the number of the last record before that log.
-        boot_id: as in `ClockReadings`.
-        written_at: s since the machine's start.
-        clock_offset: s from that time to the clock of the process.
-        clean: the process had ended in order, and spent nothing after.
+        name: The name of the ingress.
+        token: The random token of the snapshot, which the token file contains too.
+        first_log: The number of the first log that follows the snapshot.
+        last_record: The number of the last record before that log.
+        boot_id: The id of the boot during which the snapshot was written.
+        written_at: The time at which the snapshot was written, in seconds since boot.
+        clock_offset: The time of the decision module's clock minus the time since boot, in seconds.
+        clean: True if the snapshot was written at the end of a clean shutdown, after which nothing was spent.
     """
 
     name: str
@@ -83,10 +89,10 @@
     clean: bool
 
     def encode(self, shared: SharedState) -> bytes:
-        """The line."""
+        """Encode the header line, together with the shared state."""
         return encode_line(
             {
-                "form": FORM,
+                "form": FORMAT_VERSION,
                 "name": self.name,
                 "token": self.token,
                 "log": self.first_log,
@@ -103,14 +109,14 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """A snapshot as it is read.
+    """A decoded snapshot.
 
     Attributes:
-        header: its first line.
-        state: of the decision module.
-        endpoint_list: the endpoints and their addresses.
-        last_records: by customer, the last record that its buckets have counted.
-        last_work_record: the last record that the endpoints' slow start budgets have counted.
+        header: The header.
+        state: The state of the decision module.
+        endpoint_list: The endpoints and their addresses.
+        last_records: The number of the last record that the customer's buckets include, by customer.
+        last_work_record: The number of the last record that the endpoints' slow start budgets include.
     """
 
     header: SnapshotHeader
@@ -121,12 +127,17 @@
 
 
 def encode_customers(last_record: int, states: Iterable[CustomerState]) -> bytes:
-    """A line with the states of some customers; `last_record`: the last that they have counted."""
+    """Encode a line with the states of some customers.
+
+    Args:
+        last_record: The number of the last record that the states include.
+        states: The states of the customers.
+    """
     return encode_line([[last_record, *astuple(state)] for state in states])
 
 
 def seal_snapshot(lines: Iterable[bytes]) -> Iterator[bytes]:
-    """The lines, and the seal that ends a snapshot."""
+    """Yield the lines and then the seal, which contains their number and digest."""
     digest = sha256()
     count = 0
     for line in lines:
@@ -137,22 +148,23 @@
 
 
 def decode_snapshot(path: Path, data: bytes, name: str) -> Snapshot:
-    """Reads a snapshot of the ingress of that name.
+    """Decode a snapshot of the ingress `name`.
 
     Raises:
-        CheckpointDamagedError: it is damaged, or belongs to another ingress.
-        KeyError: a key is missing.
-        TypeError: a value is of another type.
-        ValueError: a value is out of range.
+        CheckpointDamagedError: The snapshot is damaged, has another format version or belongs to another ingress.
+        KeyError: A key is missing.
+        TypeError: A value has the wrong type.
+        ValueError: A value is out of range.
     """
     header, *customer_lines = _unseal(path, data)
-    if header.get("form") != FORM or header.get("name") != name:
-        found = f"form {header.get('form')!r} of {header.get('name')!r}"
-        raise CheckpointDamagedError(f"{path}: {found}, not {FORM} of {name!r}")
+    if header.get("form") != FORMAT_VERSION or header.get("name") != name:
+        found = f"format version {header.get('form')!r} of ingress {header.get('name')!r}"
+        expected = f"format version {FORMAT_VERSION} of ingress {name!r}"
+        raise CheckpointDamagedError(f"{path}: the snapshot has {found}; expected {expected}")
     customers = []
     last_records = {}
     for last_record, *fields in (customer for line in customer_lines for customer in line):
-        fields[OPEN_ATTEMPTS] = 0  # they ended with the process
+        fields[OPEN_ATTEMPTS_INDEX] = 0  # the attempts ended with the process
         customers.append(fields)
         last_records[fields[0]] = last_record
     return Snapshot(
@@ -165,12 +177,12 @@
 
 
 def _unseal(path: Path, data: bytes) -> list[Any]:
-    """All lines but the seal."""
+    """Verify the seal of a snapshot, and return all lines before it."""
     lines = [source for _, source in decode_lines(path, data)]
     body = data[: data.rstrip(b"\n").rfind(b"\n") + 1]
     seal = {"sealed": sha256(body).hexdigest(), "lines": len(lines) - 1}
     if len(lines) < MIN_SNAPSHOT_LINES or lines[-1] != seal:
-        raise CheckpointDamagedError(f"{path}: it is not whole")
+        raise CheckpointDamagedError(f"{path}: the snapshot is incomplete: its last line is not the seal of all others")
     return lines[:-1]
 
 
@@ -188,22 +200,28 @@
 
 
 def log_header(number: int, token: str | None, last_record: int) -> dict[str, Any]:
-    """The first line of a log; `last_record`: the last before it."""
-    return {"form": FORM, "log": number, "token": token, "count": last_record}
+    """Return the first line of a log, before encoding.
+
+    Args:
+        number: The number of the log.
+        token: The token of the snapshot that the log follows.
+        last_record: The number of the last record before the log.
+    """
+    return {"form": FORMAT_VERSION, "log": number, "token": token, "count": last_record}
 
 
 def encode_heartbeat(last_record: int, written_at: float) -> bytes:
-    """A line of a log that says that the process lives."""
+    """Encode a log record without usage, which shows that the process was alive at that time."""
     return encode_line([last_record, written_at])
 
 
 class UsageRecord(Struct, frozen=True):
-    """A line of a log that says what was spent.
+    """A log record with usage.
 
     Attributes:
-        number: one more than that of the record before.
-        written_at: s since the machine's start.
-        usage: what was spent; its change of open attempts is not stored.
+        number: The number of the record, one higher than that of the previous record with usage.
+        written_at: The time at which the record was written, in seconds since boot.
+        usage: The usage; its change of the attempts in flight is not stored.
     """
 
     number: int
@@ -211,7 +229,7 @@
     usage: QuotaUsage
 
     def encode(self) -> bytes:
-        """The line."""
+        """Encode the line."""
         usage = self.usage
         return encode_line(
             [
@@ -229,7 +247,12 @@
 
 
 def read_usage_record(fields: Sequence[Any]) -> UsageRecord:
-    """Reads a line of a log; ValueError or TypeError where it is none."""
+    """Decode a log record with usage.
+
+    Raises:
+        TypeError: The record is not a list, or its time has the wrong type.
+        ValueError: There are too many or too few fields, or the time is not a number.
+    """
     number, written_at, customer, plan, gateway_count, units, within_quota, endpoint_id, work = fields
     usage = QuotaUsage(
         customer=customer,
--- a/ingress/checkpoint/reader.py
+++ b/ingress/checkpoint/reader.py
@@ -1,7 +1,7 @@
-"""Reads what a process that has ended has left, and tells what of it still holds.
+"""Reads the checkpoint of an ended process, and determines which part of it is still valid.
 
-Nothing is used that does not fit together: then it is set aside, and the buckets hold what has refilled since a time at
-which nobody can have spent anything.
+Files that are damaged or inconsistent are not used but renamed. The usage is unknown then, so the buckets start with
+only what has refilled since the last moment at which quota may have been spent.
 """
 
 from __future__ import annotations
@@ -17,8 +17,10 @@
 from ingress.checkpoint.errors import CheckpointDamagedError
 from ingress.checkpoint.files import CheckpointFiles
 from ingress.checkpoint.format import (
-    CUSTOMER_FIELD,
-    HEARTBEAT_FIELDS,
+    CUSTOMER_INDEX,
+    HEARTBEAT_FIELD_COUNT,
+    RECORD_NUMBER_INDEX,
+    WRITTEN_AT_INDEX,
     Snapshot,
     SnapshotHeader,
     decode_lines,
@@ -30,22 +32,22 @@
 from ingress.decisions.handover_state import EndpointState, HandoverState
 from ingress.discovery.client import EndpointList
 
-MAX_CLOCK_ERROR = 1.0  # s by which the last record may seem to lie in the future
-MAX_LOG_AGE = 5.0  # s after its last record for which a log counts as complete; as long as a start may take
-MAX_HEALTH_AGE = 60.0  # s for which the health of endpoints is of use
+MAX_CLOCK_ERROR_S = 1.0  # the last record may appear to lie in the future by so much
+MAX_LOG_AGE_S = 5.0  # a log whose last record is older may be incomplete; a start may take so long
+MAX_HEALTH_AGE_S = 60.0  # the state of endpoints in an older checkpoint is outdated and not restored
 READ_ERRORS = (CheckpointDamagedError, ValueError, KeyError, TypeError, IndexError, AttributeError, OverflowError)
 
 
 class RecoveredState(Struct, frozen=True):
-    """What a process begins with.
+    """The state with which a process starts.
 
     Attributes:
-        summary: for the log.
-        events: for the decision module, in this order, each with its time by the module's clock.
-        endpoint_list: the endpoints, if they are known.
-        next_log: the number of the next log.
-        last_record: the number of the last record.
-        damaged: the files were damaged.
+        summary: The outcome of the recovery, for the log.
+        events: The events for the decision module, in this order, each with its time by the module's clock.
+        endpoint_list: The endpoints and their addresses; None if they are unknown.
+        next_log: The number for the next log.
+        last_record: The number of the last record.
+        damaged: True if a file was damaged.
     """
 
     summary: str
@@ -57,12 +59,12 @@
 
 
 class LogContents(Struct):
-    """What the logs that go with a snapshot hold.
+    """The contents of the logs that follow a snapshot.
 
     Attributes:
-        last_record: the number of the last record.
-        last_written_at: when the last line was written (s since the machine's start).
-        records: the lines with usage, as they are read.
+        last_record: The number of the last record.
+        last_written_at: The time at which the last line was written, in seconds since boot.
+        records: The records with usage, not yet decoded.
     """
 
     last_record: int
@@ -71,17 +73,17 @@
 
 
 def recover(files: CheckpointFiles, clocks: ClockReadings) -> RecoveredState:
-    """Reads what a process that has ended has left; what can't be used is set aside, and the summary says why.
+    """Read the checkpoint of an ended process; rename its files if they cannot be used, with the reason in the summary.
 
     Raises:
-        OSError: the folder can't be read or written.
+        OSError: The folder cannot be read or written.
     """
     if not files.token.exists() and not files.snapshot.exists():
-        return RecoveredState("nothing was kept before", next_log=files.last_log_number() + 1)
+        return RecoveredState("no earlier checkpoint exists", next_log=files.last_log_number() + 1)
     try:
         return _recover(files, clocks)
     except FileNotFoundError as error:
-        reason = f"{error.filename}: it is missing"
+        reason = f"{error.filename}: the file is missing"
         damaged = False
     except READ_ERRORS as error:
         is_explained = isinstance(error, CheckpointDamagedError)
@@ -90,7 +92,7 @@
     last_log = files.last_log_number()
     suffix = files.set_aside()
     return RecoveredState(
-        f"{reason}; it is set aside as *.{suffix}, and buckets fill from nothing",
+        f"{reason}; the files of the checkpoint are renamed to *.{suffix}, and buckets start empty",
         ((clocks.now, UsageUnknown(clocks.now)),),
         next_log=last_log + 1,
         damaged=damaged,
@@ -101,7 +103,9 @@
     snapshot = decode_snapshot(files.snapshot, files.snapshot.read_bytes(), files.name)
     header = snapshot.header
     if header.token not in files.read_tokens():
-        raise CheckpointDamagedError(f"{files.snapshot}: it is not the one that was written last")
+        raise CheckpointDamagedError(
+            f"{files.snapshot}: not the snapshot that was written last: {files.token.name} does not contain its token"
+        )
     last_log = max(header.first_log, files.last_log_number())
     contents = LogContents(header.last_record, header.written_at)
     for number in range(header.first_log, last_log + 1):
@@ -114,19 +118,20 @@
     offset = clocks.now - clocks.since_boot if same_boot else header.clock_offset
     age = clocks.now - (contents.last_written_at + offset)
     if not clean and not same_boot:
-        # The process that wrote it ended with the machine at the latest.
-        summary = f"the machine was started anew {clocks.since_boot:.1f} s ago: buckets have filled since then"
+        # The process that wrote the checkpoint cannot have spent anything after the machine went down.
+        summary = f"the machine booted {clocks.since_boot:.1f} s ago: buckets contain only what has refilled since then"
         return replace(found, summary=summary, events=((clocks.now, UsageUnknown(clocks.now - clocks.since_boot)),))
-    if not clean and not -MAX_CLOCK_ERROR <= age <= MAX_LOG_AGE:
-        summary = f"{files.snapshot}: the last word is {age:.1f} s old: buckets fill from nothing"
+    if not clean and not -MAX_CLOCK_ERROR_S <= age <= MAX_LOG_AGE_S:
+        limits = f"{-MAX_CLOCK_ERROR_S} to {MAX_LOG_AGE_S} s"
+        summary = f"{files.snapshot}: the last record is {age:.1f} s old, expected {limits}: buckets start empty"
         return replace(found, summary=summary, events=((clocks.now, UsageUnknown(clocks.now)),))
     state = _shifted(snapshot.state, offset - header.clock_offset)
-    if age > MAX_HEALTH_AGE:
+    if age > MAX_HEALTH_AGE_S:
         state = replace(state, endpoints=())
     started_at = min(header.written_at + offset, clocks.now)  # the Unix clock may have been set back
     endpoints = EndpointsChanged(EndpointListKind.RESTORED, snapshot.endpoint_list.endpoints)
     usage = tuple(_usage_events(snapshot, contents, offset))
-    end = "after an orderly end" if clean else f"with {len(contents.records)} records"
+    end = "after a clean shutdown" if clean else f"with {len(contents.records)} records"
     return replace(
         found,
         summary=f"{_summary(state, contents)}, {end}, {max(0.0, age):.1f} s ago",
@@ -136,12 +141,12 @@
 
 def _summary(state: HandoverState, contents: LogContents) -> str:
     customers = {customer.customer for customer in state.customers}
-    customers.update(fields[CUSTOMER_FIELD] for fields in contents.records)
+    customers.update(fields[CUSTOMER_INDEX] for fields in contents.records)
     return f"{len(customers)} customers and {len(state.endpoints)} servers"
 
 
 def _read_log(files: CheckpointFiles, number: int, header: SnapshotHeader, contents: LogContents) -> None:
-    """Reads a log that goes with a snapshot, and adds what it holds."""
+    """Read a log that follows the snapshot, and add its records to `contents`."""
     path = files.log_path(number)
     has_header = False
     for line_number, source in decode_lines(path, path.read_bytes()):
@@ -151,31 +156,36 @@
         has_header = True
         is_expected = source == log_header(number, source.get("token"), contents.last_record)
         if not is_expected or (number == header.first_log and source["token"] != header.token):
-            raise CheckpointDamagedError(f"{path}: it does not go with {files.snapshot.name}")
+            raise CheckpointDamagedError(
+                f"{path}: its header does not follow {files.snapshot.name}:"
+                f" expected log {number} after record {contents.last_record}"
+            )
     if not has_header:
-        raise CheckpointDamagedError(f"{path}: it is empty")
+        raise CheckpointDamagedError(f"{path}: the file is empty; expected a log header")
 
 
 def _read_record(path: Path, line_number: int, fields: list[Any], contents: LogContents) -> None:
-    has_usage = len(fields) > HEARTBEAT_FIELDS
-    written_at = float(fields[1])
-    if fields[0] != contents.last_record + has_usage:
+    has_usage = len(fields) > HEARTBEAT_FIELD_COUNT
+    written_at = float(fields[WRITTEN_AT_INDEX])
+    record_number = fields[RECORD_NUMBER_INDEX]
+    expected_number = contents.last_record + has_usage
+    if record_number != expected_number:
         raise CheckpointDamagedError(
-            f"{path}: line {line_number}: record {fields[0]} comes after {contents.last_record}"
+            f"{path}: line {line_number} has record number {record_number}, expected {expected_number}"
         )
     contents.last_written_at = max(contents.last_written_at, written_at)
-    contents.last_record = int(fields[0])
+    contents.last_record = int(record_number)
     if has_usage:
         contents.records.append(fields)
 
 
 def _usage_events(snapshot: Snapshot, contents: LogContents, offset: float) -> Iterator[tuple[float, Event]]:
-    """What the snapshot has not counted yet, each with its time."""
+    """Yield the usage that the snapshot does not include yet, each with its time."""
     for fields in contents.records:
         record = read_usage_record(fields)
-        counted = snapshot.last_records.get(record.usage.customer, snapshot.header.last_record)
+        last_included = snapshot.last_records.get(record.usage.customer, snapshot.header.last_record)
         usage = record.usage
-        if record.number <= counted:
+        if record.number <= last_included:
             usage = replace(usage, units=0.0)
         if record.number <= snapshot.last_work_record:
             usage = replace(usage, slow_start_work=0.0)
@@ -183,7 +193,10 @@
 
 
 def _shifted(state: HandoverState, shift: float) -> HandoverState:
-    """The state under a clock that is ahead by `shift` s.  When an endpoint started, its own clock has said."""
+    """Return the state for a clock that is ahead by `shift` seconds.
+
+    The start times of endpoints are not shifted, since they come from the endpoints' own clocks.
+    """
     if not shift:
         return state
     known_since = state.usage_known_since
--- a/ingress/checkpoint/recovery.py
+++ b/ingress/checkpoint/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery: restores the state that a process which has ended has left, and has this one's state written.
+"""Recovery: restores the state from the checkpoint of an ended process, and provides this one's state to the writer.
 
-The modules that read and write checkpoints are imported only where the configuration names a folder: a start without
-one is faster.
+The modules that read and write checkpoints are imported only if a checkpoint folder is configured, which makes a start
+without one faster.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 
 
 class EventFeed(Protocol):
-    """Hands an event to the decision module."""
+    """Passes an event to the decision module."""
 
     def __call__(self, event: Event, at: float | None = None) -> None:
-        """`at`: when it was, where that is not now."""
+        """Pass an event that happened at the time `at` of the module's clock; None for now."""
 
 
 class RecoveryParts(Struct, frozen=True):
     """The parts of the process whose state is restored and written.
 
     Attributes:
-        gateway: the decision module.
-        discovery: goes on from the endpoints that are restored.
-        clock: of the decision module.
-        feed: hands an event to the decision module.
-        update_endpoints: takes a list of endpoints into use.
-        endpoint_list: the endpoints that are in use.
-        persistence_changed: usage is written from now on, or is not any more.
+        gateway: The decision module.
+        discovery: The discovery client, which continues from the version of the restored endpoint list.
+        clock: The clock of the decision module.
+        feed: Passes an event to the decision module.
+        update_endpoints: Applies an endpoint list.
+        endpoint_list: Returns the active endpoint list.
+        persistence_changed: Called when the writer starts or stops writing usage to disk.
     """
 
     gateway: Gateway
@@ -57,11 +57,13 @@
 
 
 class Recovery:
-    """The state of a process as its checkpoint holds it; the source of the writer.
+    """Restores the state from the checkpoint at start, and provides the current state to the writer.
 
     Attributes:
-        persisting: usage is written to disk.
-        writer: None where the configuration names no folder.
+        config: The configuration.
+        parts: The parts of the process.
+        persisting: True while usage is written to disk.
+        writer: The checkpoint writer; None if no checkpoint folder is configured.
     """
 
     def __init__(self, config: Config, parts: RecoveryParts) -> None:
@@ -77,7 +79,10 @@
             self.writer = CheckpointWriter(files, config.checkpoint.interval, self, parts.clock)
 
     def recover(self) -> None:
-        """Restores what a process that has ended has left; a folder that can't be used is logged, and no more."""
+        """Restore the state of an ended process, and begin the first log.
+
+        If the checkpoint folder cannot be used, the error is logged and the process starts without a checkpoint.
+        """
         if self.writer is None:
             return
         from ingress.checkpoint.clock_readings import read_clocks
@@ -87,39 +92,40 @@
         files = self.writer.files
         try:
             if not self.writer.acquire():
-                log.error("%s: another process holds %s: no checkpoint is kept", name, files.lock)
+                log.error("%s: no checkpoint is read or written yet: another process has locked %s", name, files.lock)
                 return
-            found = recover(files, read_clocks(self.parts.clock()))
-            log.log(logging.ERROR if found.damaged else logging.INFO, "%s: checkpoint: %s", name, found.summary)
-            self.writer.begin_first_log(found.next_log, found.last_record)
+            recovered = recover(files, read_clocks(self.parts.clock()))
+            log.log(logging.ERROR if recovered.damaged else logging.INFO, "%s: checkpoint: %s", name, recovered.summary)
+            self.writer.begin_first_log(recovered.next_log, recovered.last_record)
         except OSError as error:
-            log.error("%s: no checkpoint is kept: %s: %s", name, error.filename, error.strerror)
+            log.error("%s: cannot use the checkpoint folder: %s: %s", name, error.filename, error.strerror)
             return
-        for at, event in found.events:
+        for at, event in recovered.events:
             self.parts.feed(event, at)
-        if found.endpoint_list is not None and found.endpoint_list.version > self.config.initial_endpoints.version:
-            self.parts.discovery.set_version(found.endpoint_list.version)
-            self.parts.update_endpoints(EndpointListKind.RESTORED, found.endpoint_list)
+        endpoint_list = recovered.endpoint_list
+        if endpoint_list is not None and endpoint_list.version > self.config.initial_endpoints.version:
+            self.parts.discovery.set_version(endpoint_list.version)
+            self.parts.update_endpoints(EndpointListKind.RESTORED, endpoint_list)
 
-    # The source of the writer
+    # Implements CheckpointSource
 
     def customer_names(self) -> list[str]:
-        """All customers that have a state."""
+        """List the names of all customers that have a state."""
         return list(self.parts.gateway.customers)
 
     def customer_states(self, names: Iterable[str]) -> list[CustomerState]:
-        """The states of these customers."""
+        """Return the states of these customers."""
         return self.parts.gateway.customer_states(self.parts.clock(), names)
 
     def shared_state(self) -> SharedState:
-        """What a snapshot holds beside the customers."""
+        """Return the state that a snapshot contains in addition to the customers."""
         from ingress.checkpoint.source import SharedState
 
         state = self.parts.gateway.handover_state(self.parts.clock(), customers=False)
         return SharedState(state, self.parts.endpoint_list())
 
     def persistence_changed(self, enabled: bool) -> None:
-        """Usage is written from now on, or is not any more: the decision module has to report it, or need not."""
+        """Record whether usage is written to disk, and notify the decision module, which must report it while it is."""
         if enabled is not self.persisting:
             self.persisting = enabled
             self.parts.persistence_changed()
--- a/ingress/checkpoint/source.py
+++ b/ingress/checkpoint/source.py
@@ -1,4 +1,4 @@
-"""What a checkpoint is made of, as the process whose state it holds provides it."""
+"""The interface through which the checkpoint writer reads the state of its process."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class SharedState(Struct, frozen=True):
-    """What a snapshot holds beside the customers.
+    """The state that a snapshot contains in addition to the customers.
 
     Attributes:
-        state: of the decision module, without the customers.
-        endpoint_list: the endpoints and their addresses.
+        state: The state of the decision module, without the customers.
+        endpoint_list: The endpoints and their addresses.
     """
 
     state: HandoverState
@@ -24,16 +24,16 @@
 
 
 class CheckpointSource(Protocol):
-    """The process whose state is written."""
+    """Provides the state of the process to the checkpoint writer."""
 
     def customer_names(self) -> list[str]:
-        """All customers that have a state."""
+        """List the names of all customers that have a state."""
 
     def customer_states(self, names: Iterable[str]) -> list[CustomerState]:
-        """The states of these customers; one that has none by now is left out."""
+        """Return the states of these customers, without customers that have none any more."""
 
     def shared_state(self) -> SharedState:
-        """What is written beside the customers."""
+        """Return the state that is written in addition to the customers."""
 
     def persistence_changed(self, enabled: bool) -> None:
-        """Usage is written from now on, or is not."""
+        """Handle that usage is written to disk from now on, or no longer."""
--- a/ingress/checkpoint/writer.py
+++ b/ingress/checkpoint/writer.py
@@ -1,9 +1,9 @@
-"""Writes the checkpoint of this process: a snapshot now and then, and a log of what is spent in between.
+"""Writes the checkpoint of this process: snapshots at intervals, and a log of the usage in between.
 
-A record is written before its request goes out, so that a process that is killed has spent nothing that its log does
-not say.  A snapshot is made in small parts between the requests: with each customer's state goes the number of the last
-record that it has counted.  Where the disk fails, what is on it is deleted, requests go on, and the next snapshot tries
-again.
+A record is written before its request is sent, so a process that is killed has spent nothing that its log does not
+contain. A snapshot is made in small parts between requests; the state of each customer is stored with the number of the
+last record that it includes. If a record cannot be written, the checkpoint is deleted, requests continue, and the next
+snapshot starts a new one.
 """
 
 from __future__ import annotations
@@ -34,38 +34,41 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_INTERVAL = 0.5  # s without a record after which a log says that its process lives
-CHUNK_SIZE = 200  # customers that are encoded before other tasks run
-MIN_PAUSE_RATIO = 50  # a snapshot is followed by a pause at least this many times its CPU time
-LOCK_RETRY_INTERVAL = 0.1  # s
+HEARTBEAT_INTERVAL_S = 0.5  # without usage for so long, a heartbeat is written to the log
+CHUNK_CUSTOMERS = 200  # customers that are encoded before other tasks run
+MIN_PAUSE_RATIO = (
+    50  # the pause after a snapshot is at least so many times the CPU time that the process used during it
+)
+LOCK_RETRY_INTERVAL_S = 0.1
 LOCK_FLAGS = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
 LOG_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
 FILE_MODE = 0o600
-TOKEN_SIZE = 8  # bytes
-TIME_DIGITS = 6  # microseconds
-CLOSED = -1  # no descriptor
+TOKEN_BYTES = 8
+TIME_DECIMALS = 6  # times in the log have a resolution of 1 microsecond
+CLOSED = -1  # in place of the descriptor of a file that is not open
 
 
 class CheckpointWriter:
-    """Writes the checkpoint as long as this process holds the lock.
+    """Writes the checkpoint while this process holds the lock.
 
     Attributes:
-        files: of the checkpoint.
-        interval: s between snapshots.
-        source: the process whose state is written.
-        clock: that of the decision module.
-        lock_descriptor: of the lock; CLOSED while another process holds it.
-        log_descriptor: of the current log; CLOSED where none is written.
-        log_number: of the current log.
-        last_record: the number of the last record.
-        token: of the last snapshot; empty before the first.
-        written_at: when the last line of the log was written (s of the event loop's clock).
-        records_written: since the start.
-        snapshots_written: since the start.
-        failure_count: writes that have failed since the start.
-        snapshot_bytes: the size of the last snapshot.
-        task: writes the snapshots.
-        ending: set once no further snapshot is to be begun.
+        files: The files of the checkpoint.
+        interval: The interval between snapshots, in seconds.
+        source: The provider of the state that is written.
+        clock: The clock of the decision module.
+        loop: The event loop.
+        lock_descriptor: The descriptor of the lock file; CLOSED while this process does not hold the lock.
+        log_descriptor: The descriptor of the current log; CLOSED while no log is written.
+        log_number: The number of the current log.
+        last_record: The number of the last record.
+        token: The token of the latest snapshot; empty before the first.
+        written_at: The time at which the last line of the log was written, in seconds of the event loop's clock.
+        records_written: The number of records with usage since the start.
+        snapshots_written: The number of snapshots since the start.
+        failure_count: The number of failed writes since the start.
+        snapshot_bytes: The size of the latest snapshot.
+        task: The task that writes the snapshots.
+        ending: Set once no further snapshot may begin.
     """
 
     def __init__(self, files: CheckpointFiles, interval: float, source: CheckpointSource, clock: Clock) -> None:
@@ -88,7 +91,7 @@
         self.ending = asyncio.Event()
 
     def metrics(self) -> dict[str, int]:
-        """What is shown to operators."""
+        """Return the metrics that are shown to operators."""
         return {
             "checkpoint.on": int(self.log_descriptor != CLOSED),
             "checkpoint.records": self.records_written,
@@ -97,10 +100,10 @@
             "checkpoint.bytes": self.snapshot_bytes,
         }
 
-    # The lock: one process writes
+    # The lock, which ensures that only one process writes
 
     def acquire(self) -> bool:
-        """Takes the lock if no other process holds it; whether this process holds it now."""
+        """Acquire the lock if no other process holds it; report whether this process holds it now."""
         if self.lock_descriptor == CLOSED:
             self.files.directory.mkdir(parents=True, exist_ok=True)
             descriptor = os.open(self.files.lock, LOCK_FLAGS, FILE_MODE)
@@ -114,50 +117,51 @@
         return True
 
     def begin_first_log(self, number: int, last_record: int) -> None:
-        """Begins a log before the first request; it goes with the snapshot that is in place.
+        """Begin a log that follows the existing snapshot, before the first request.
 
-        Blocks: this process does not serve yet.
+        Blocks, since this process does not serve yet.
 
         Args:
-            number: of the log.
-            last_record: the number of the last record before it.
+            number: The number of the log.
+            last_record: The number of the last record before it.
         """
         self.last_record = last_record
         if not self.files.token.exists():
-            self.files.write_tokens([])  # says that there was a process, and that something may have been spent
-        self._begin_log(number, secrets.token_hex(TOKEN_SIZE))
+            # Shows the next process that there was one before it, so that quota may have been spent.
+            self.files.write_tokens([])
+        self._begin_log(number, secrets.token_hex(TOKEN_BYTES))
 
     def start(self) -> None:
-        """Writes snapshots from now on."""
+        """Start the task that writes snapshots."""
         self.task = self.loop.create_task(self._run())
 
     async def _run(self) -> None:
         while not self.ending.is_set():
-            pause = LOCK_RETRY_INTERVAL
+            pause = LOCK_RETRY_INTERVAL_S
             try:
                 if self.acquire():
                     started_at = time.process_time()
                     await self.snapshot()
                     pause = max(self.interval, MIN_PAUSE_RATIO * (time.process_time() - started_at))
-            except OSError as error:  # the snapshot before holds, with all logs since
+            except OSError as error:  # the previous snapshot remains valid, with all logs since
                 self.failure_count += 1
-                log.error("no snapshot is made: %s: %s", error.filename or self.files.directory, error.strerror)
+                log.error("cannot write a snapshot: %s: %s", error.filename or self.files.directory, error.strerror)
                 pause = self.interval
             await self._pause(pause)
 
     async def _pause(self, duration: float) -> None:
-        """Waits, and keeps the log alive meanwhile."""
+        """Wait until the duration has passed or the end begins, and write heartbeats to the log meanwhile."""
         ends_at = self.loop.time() + duration
-        while (left := ends_at - self.loop.time()) > 0 and not self.ending.is_set():
+        while (remaining := ends_at - self.loop.time()) > 0 and not self.ending.is_set():
             with suppress(TimeoutError):
-                async with asyncio.timeout(min(HEARTBEAT_INTERVAL, left)):
+                async with asyncio.timeout(min(HEARTBEAT_INTERVAL_S, remaining)):
                     await self.ending.wait()
             self._write_heartbeat()
 
     # Records
 
     def record_usage(self, usage: QuotaUsage) -> None:
-        """Writes what a request spends, before it goes out."""
+        """Write the usage of a request, before the request is sent."""
         if self.log_descriptor == CLOSED or not (usage.units or usage.slow_start_work):
             return
         self.last_record += 1
@@ -165,12 +169,12 @@
         self._write(UsageRecord(self.last_record, self._written_now(), usage).encode())
 
     def _write_heartbeat(self) -> None:
-        """Says in the log that the process lives, where nothing was spent for a while."""
-        if self.log_descriptor != CLOSED and self.loop.time() - self.written_at > HEARTBEAT_INTERVAL:
+        """Write a heartbeat to the log, if nothing has been written to it for a while."""
+        if self.log_descriptor != CLOSED and self.loop.time() - self.written_at > HEARTBEAT_INTERVAL_S:
             self._write(encode_heartbeat(self.last_record, self._written_now()))
 
     def _written_now(self) -> float:
-        return round(seconds_since_boot(), TIME_DIGITS)
+        return round(seconds_since_boot(), TIME_DECIMALS)
 
     def _write(self, line: bytes) -> None:
         try:
@@ -180,18 +184,22 @@
         self.written_at = self.loop.time()
 
     def _fail(self, error: OSError) -> None:
-        """Stops the log and deletes what is on disk.
+        """Stop the log and delete the checkpoint.
 
-        Guards against quota spent twice: with an old log, the next process would not know of what is spent from now
+        Guards against spending quota twice: the outdated log would hide from the next process what is spent from now
         on.
         """
         self.failure_count += 1
-        log.error("no checkpoint is kept: %s: %s", error.filename or self.files.directory, error.strerror)
+        log.error(
+            "cannot write the checkpoint, so it is deleted: %s: %s",
+            error.filename or self.files.directory,
+            error.strerror,
+        )
         self._stop_log()
         try:
             self.files.delete()
         except OSError as delete_error:
-            log.error("what was kept can't be taken back: %s: %s", delete_error.filename, delete_error.strerror)
+            log.error("cannot delete the outdated checkpoint: %s: %s", delete_error.filename, delete_error.strerror)
 
     def _stop_log(self) -> None:
         if self.log_descriptor != CLOSED:
@@ -202,15 +210,15 @@
     # Snapshots
 
     async def snapshot(self, clean: bool = False) -> None:
-        """Begins a log and writes the snapshot that goes with it.
+        """Begin a log and write the snapshot that it follows.
 
         Args:
-            clean: the process ends in order, and spends nothing any more.
+            clean: True at the end of a clean shutdown, after which this process spends nothing.
 
         Raises:
-            OSError: it can't be written; the snapshot before holds as long as its logs are there.
+            OSError: The log or the snapshot cannot be written; the previous snapshot and its logs remain valid.
         """
-        token = secrets.token_hex(TOKEN_SIZE)
+        token = secrets.token_hex(TOKEN_BYTES)
         tokens = [self.token] if self.token else self._previous_tokens()
         number = self.log_number + 1
         await asyncio.to_thread(self.files.write_tokens, [*tokens, token])
@@ -227,8 +235,8 @@
         )
         lines = [header.encode(self.source.shared_state())]
         names = self.source.customer_names()
-        for start in range(0, len(names), CHUNK_SIZE):
-            states = self.source.customer_states(names[start : start + CHUNK_SIZE])
+        for start in range(0, len(names), CHUNK_CUSTOMERS):
+            states = self.source.customer_states(names[start : start + CHUNK_CUSTOMERS])
             if states:
                 lines.append(encode_customers(self.last_record, states))
             if not clean:
@@ -239,7 +247,10 @@
         self.snapshots_written += 1
 
     def _write_snapshot(self, header: SnapshotHeader, lines: list[bytes]) -> int:
-        """Replaces the snapshot and deletes the logs before it, in a thread; the size of the snapshot."""
+        """Replace the snapshot and delete the logs before it; return the size of the snapshot in bytes.
+
+        Runs in a thread.
+        """
         chunks = list(seal_snapshot(lines))
         self.files.replace_file(self.files.snapshot, chunks)
         self.files.write_tokens([header.token])
@@ -249,18 +260,18 @@
         return sum(map(len, chunks))
 
     def _previous_tokens(self) -> list[str]:
-        """Those of a process before, whose snapshot holds until there is another."""
+        """Return the tokens of an earlier process, whose snapshot remains valid until it is replaced."""
         with suppress(Exception):
             return self.files.read_tokens()
         return []
 
     def _begin_log(self, number: int, token: str) -> None:
-        """Writes records to a new log from now on."""
+        """Create a log and write all further records to it."""
         path = self.files.log_path(number)
         descriptor = os.open(path, LOG_FLAGS, FILE_MODE)
         try:
             line = encode_line(log_header(number, token, self.last_record))
-            _write_completely(descriptor, line, "a log", path)
+            _write_completely(descriptor, line, "the header of a log", path)
         except OSError:
             os.close(descriptor)
             path.unlink(missing_ok=True)
@@ -273,10 +284,14 @@
         self.source.persistence_changed(True)
 
     async def close(self, clean: bool) -> None:
-        """Ends; `clean`: with a last snapshot, as no other process goes on."""
+        """Stop writing and release the lock.
+
+        Args:
+            clean: True to write a final snapshot, because no other process of the ingress continues.
+        """
         self.ending.set()
         if self.task is not None:
-            # Guards against two writers: a thread goes on when its task is cancelled.
+            # The task is not cancelled: its thread would continue, so that two threads could write at the same time.
             await asyncio.gather(self.task, return_exceptions=True)
         try:
             if clean and self.lock_descriptor != CLOSED:
@@ -291,6 +306,10 @@
 
 
 def _write_completely(descriptor: int, line: bytes, what: str, path: os.PathLike[str]) -> None:
-    """Writes a line; OSError where the disk takes only a part of it."""
+    """Write a line.
+
+    Raises:
+        OSError: The write fails, or the disk takes only a part of the line.
+    """
     if os.write(descriptor, line) != len(line):
-        raise OSError(errno.ENOSPC, f"{what} was not written whole", str(path))
+        raise OSError(errno.ENOSPC, f"{what} was written only in part", str(path))
--- a/tests/test_checkpoint.py
+++ b/tests/test_checkpoint.py
@@ -23,7 +23,7 @@
 from ingress.checkpoint.clock_readings import ClockReadings, read_clocks
 from ingress.checkpoint.files import CheckpointFiles
 from ingress.checkpoint.format import encode_line
-from ingress.checkpoint.reader import MAX_LOG_AGE, RecoveredState, recover
+from ingress.checkpoint.reader import MAX_LOG_AGE_S, RecoveredState, recover
 from ingress.checkpoint.source import SharedState
 from ingress.checkpoint.writer import CheckpointWriter
 from ingress.configuration.document import CheckpointConfig, ConfigError
@@ -129,7 +129,7 @@
         three.spend()
         await three.checkpoint_writer.close(clean=True)
         four = Process(tmp_path)
-        assert "after an orderly end" in four.found.summary and round(four.level(), 2) == FULL - 5
+        assert "after a clean shutdown" in four.found.summary and round(four.level(), 2) == FULL - 5
         four.die()
 
     run(body())
@@ -245,12 +245,12 @@
 def test_a_process_that_never_wrote_a_snapshot_hands_out_nothing_either(tmp_path: Path) -> None:
     async def body() -> None:
         one = Process(tmp_path)
-        assert one.found.summary == "nothing was kept before" and not one.found.events
+        assert one.found.summary == "no earlier checkpoint exists" and not one.found.events
         for _ in range(5):
             one.spend()
         one.die()
         two = Process(tmp_path)
-        assert "n0.snapshot: it is missing" in two.found.summary
+        assert "n0.snapshot: the file is missing" in two.found.summary
         assert two.level("c") < 0.1 and two.level("unseen") < 0.1
 
     run(body())
@@ -273,9 +273,9 @@
     one, files = play(history, tmp_path)
     times = read_clocks(one.clock())
     found = recover(
-        files, replace(times, since_boot=times.since_boot + MAX_LOG_AGE + 1, now=times.now + MAX_LOG_AGE + 1)
+        files, replace(times, since_boot=times.since_boot + MAX_LOG_AGE_S + 1, now=times.now + MAX_LOG_AGE_S + 1)
     )
-    assert judge(found) == "refused" and "the last word is 6" in found.summary and not found.damaged
+    assert judge(found) == "refused" and "the last record is 6" in found.summary and not found.damaged
 
 
 def test_a_clock_that_was_set_refills_nothing_and_moves_what_is_known(tmp_path: Path) -> None:
@@ -313,7 +313,7 @@
 
     two, files = play(twice, tmp_path)
     found = recover(files, read_clocks(two.clock()))
-    assert judge(found) == "refused" and "not the one that was written last" in found.summary
+    assert judge(found) == "refused" and "not the snapshot that was written last" in found.summary
 
 
 def test_a_later_form_is_kept_aside_and_not_read(tmp_path: Path) -> None:
@@ -323,7 +323,7 @@
     body = b"\n".join([encode_line(source)[:-1], *rest[:-2]]) + b"\n"
     files.snapshot.write_bytes(body + encode_line({"sealed": hashlib.sha256(body).hexdigest(), "lines": 2}))
     found = recover(files, read_clocks(one.clock()))
-    assert judge(found) == "refused" and "form 2" in found.summary
+    assert judge(found) == "refused" and "format version 2 of ingress 'n0'" in found.summary
     assert [p for p in tmp_path.iterdir() if p.name.startswith("n0.snapshot.damaged-")]
 
 
@@ -436,7 +436,7 @@
         await one.checkpoint_writer.close(clean=True)
         await until(written.is_set)
         two = Process(tmp_path)
-        assert "after an orderly end" in two.found.summary and round(two.level(), 2) == FULL - 2
+        assert "after a clean shutdown" in two.found.summary and round(two.level(), 2) == FULL - 2
         two.die()
 
     run(body())
