--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -1,4 +1,4 @@
-"""Golden files of the list service: its store, a copy of it, and its answers."""
+"""Golden files of the endpoint registry: its store, a backup, and its answers."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 from tests.golden_files import GOLDEN, as_json, golden
 from tests.test_registry import TOKEN, row, run, serving
 
-STORE, COPY = "registry", "registry-copies"
+STORE = "registry"
+BACKUPS = "registry-copies"
 NAME = "0123456789abcdef0123456789abcdef"
 
 
 def written_store(folder: Path) -> Store:
-    """Three entries, one with a lease; a fourth has gone."""
+    """Write a store with three entries, one of which has a lease, and with a fourth that was removed."""
     with patch("uuid.uuid4", lambda: SimpleNamespace(hex=NAME)):
         store = Store(folder, now=lambda: 1_700_000_000_000, boot=lambda: "boot-1")
     store.write(store.version + 1, [(row("s1"), 0.0), (row("s2", "draining", 6380), 600.5), (row("gone"), 0.0)])
@@ -32,20 +33,20 @@
 
 
 def tables(path: Path) -> bytes:
-    """All that a store says: the numbers that its file begins with, its schema, its rows."""
-    asked = {
+    """Return the contents of a store as JSON: the numbers in its file header, its schema and its rows."""
+    queries = {
         "user_version": "PRAGMA user_version",
         "application_id": "PRAGMA application_id",
         "schema": "SELECT type, name, tbl_name, sql FROM sqlite_master ORDER BY name",
         "meta": "SELECT key, value FROM meta ORDER BY key",
         "entries": "SELECT id, row, version, sum FROM entries ORDER BY id",
     }
-    with closing(sqlite3.connect(path)) as base:
-        return as_json({name: base.execute(query).fetchall() for name, query in asked.items()})
+    with closing(sqlite3.connect(path)) as connection:
+        return as_json({name: connection.execute(query).fetchall() for name, query in queries.items()})
 
 
 def store_files() -> Iterator[tuple[str, bytes]]:
-    """The tables, and the bound while the service runs and after it."""
+    """Yield the tables, and the file with the version bound while the store is open and after it was closed."""
     with tempfile.TemporaryDirectory() as name:
         folder = Path(name)
         store = written_store(folder)
@@ -56,14 +57,14 @@
 
 
 def recorded_store() -> Iterator[tuple[str, bytes]]:
-    """The files of SQLite and of a copy: the library's version stands in them, so that none is compared by bytes."""
+    """Yield the SQLite file and a backup, which no test compares by bytes: they contain the version of SQLite."""
     with tempfile.TemporaryDirectory() as name, patch("time.time", lambda: 1_700_000_100.5):
         folder = Path(name)
         written_store(folder / "list").close()
         yield f"{STORE}/list.db", (folder / "list" / "list.db").read_bytes()
         take_backup(folder / "list", folder / "copies")
         for path in sorted((folder / "copies").iterdir()):
-            yield f"{COPY}/{path.name}", path.read_bytes()
+            yield f"{BACKUPS}/{path.name}", path.read_bytes()
 
 
 def test_a_store_is_written() -> None:
@@ -71,13 +72,13 @@
         assert data == golden(name), name
 
 
-def test_a_store_is_read_and_goes_on(tmp_path: Path) -> None:
+def test_a_store_is_read_and_continues(tmp_path: Path) -> None:
     shutil.copytree(GOLDEN / STORE, tmp_path / "list")
     store = Store(tmp_path / "list", now=lambda: 1_800_000_000_000, boot=lambda: "boot-2")
     version = 1_700_000_000_003
-    kept = {entry["id"]: (entry, changed, life) for entry, changed, life in store.rows}
+    entries = {entry["id"]: (entry, changed, lease) for entry, changed, lease in store.rows}
     assert (store.name, store.version) == (NAME, version)
-    assert kept == {
+    assert entries == {
         "s1": (row("s1"), version - 1, 0.0),
         "s2": (row("s2", "draining", 6380), version - 1, 600.5),
         "Zoë": (row("Zoë"), version, 0.0),
@@ -87,24 +88,25 @@
     assert not list((tmp_path / "list").glob("*damaged*"))
 
 
-def test_a_copy_is_verified_restored_and_taken_again(tmp_path: Path) -> None:
-    shutil.copytree(GOLDEN / COPY, tmp_path / "old")
-    found = choose(tmp_path / "old")
-    assert not list(verify(found)) and tables(found) == golden("registry-tables.json")
-    store = Store(tmp_path / "restored", now=lambda: 1_800_000_000_000, restore=found, boot=lambda: "boot-2")
+def test_a_backup_is_verified_restored_and_taken_again(tmp_path: Path) -> None:
+    shutil.copytree(GOLDEN / BACKUPS, tmp_path / "old")
+    backup = choose(tmp_path / "old")
+    assert not list(verify(backup)) and tables(backup) == golden("registry-tables.json")
+    store = Store(tmp_path / "restored", now=lambda: 1_800_000_000_000, restore=backup, boot=lambda: "boot-2")
     assert store.name == NAME and len(store.rows) == 3 and store.version > 1_700_000_000_003
     store.close()
     written_store(tmp_path / "list").close()
     with patch("time.time", lambda: 1_700_000_100.5):
         take_backup(tmp_path / "list", tmp_path / "new")
-    again = choose(tmp_path / "new")
-    assert again.name == found.name and tables(again) == tables(found)
-    old, new = (json.loads(path.with_suffix(".json").read_text(encoding="utf-8")) for path in (found, again))
-    changing = dict.fromkeys(("size", "sha256"))  # with the version of SQLite
-    assert json.dumps(new | changing) == json.dumps(old | changing)
+    new_backup = choose(tmp_path / "new")
+    assert new_backup.name == backup.name and tables(new_backup) == tables(backup)
+    old, new = (json.loads(path.with_suffix(".json").read_text(encoding="utf-8")) for path in (backup, new_backup))
+    varying = dict.fromkeys(("size", "sha256"))  # they depend on the version of SQLite
+    assert json.dumps(new | varying) == json.dumps(old | varying)
 
 
-CALLS = (  # in this order; the token goes with all but the one that has to be turned away
+# In this order. The last field states whether the token is sent; the request without it must be rejected.
+CALLS = (
     ("GET", "/api/targets", None, True),
     ("GET", "/api/targets?after=1700000000003", None, True),
     ("GET", "/api/targets?after=x", None, True),
@@ -124,17 +126,17 @@
 
 
 def answers() -> bytes:
-    """A line for each call and one for its answer: status, version or store, body."""
+    """Return one line for each request and one for its answer: status, headers and body."""
     lines = []
 
     async def body(folder: Path) -> None:
         async with serving(folder) as (_, client, _):
-            for verb, path, data, allowed in CALLS:
-                key = {"Authorization": f"Bearer {TOKEN}"} if allowed else {}
-                async with client.web.request(verb, client.base + path, data=data, headers=key) as answer:
-                    marks = [answer.headers.get(name, "") for name in ("Content-Type", "ETag", "X-Store")]
-                    lines.append(f"> {verb} {path} {data or ''}\n")
-                    lines.append(f"{answer.status} {marks} {await answer.text()}\n")
+            for method, path, data, is_authorized in CALLS:
+                headers = {"Authorization": f"Bearer {TOKEN}"} if is_authorized else {}
+                async with client.web.request(method, client.base + path, data=data, headers=headers) as answer:
+                    answer_headers = [answer.headers.get(name, "") for name in ("Content-Type", "ETag", "X-Store")]
+                    lines.append(f"> {method} {path} {data or ''}\n")
+                    lines.append(f"{answer.status} {answer_headers} {await answer.text()}\n")
 
     with tempfile.TemporaryDirectory() as name:
         shutil.copytree(GOLDEN / STORE, Path(name) / "list")
@@ -142,18 +144,18 @@
     return "".join(lines).encode()
 
 
-def test_the_services_answers() -> None:
+def test_the_answers_of_the_registry() -> None:
     assert answers() == golden("registry-answers.txt")
 
 
 def tombstone() -> bytes:
-    """What a watch is told of an entry that has gone."""
+    """Return the answer to a watch after an entry was removed."""
     catalog = Catalog(1, [(row("s1"), 1), (row("s2"), 1)])
     catalog.apply(2, [row("s2", "gone")])
     return catalog.response(1)
 
 
-def test_an_entry_that_has_gone_is_told() -> None:
+def test_a_watch_reports_a_removed_entry() -> None:
     assert tombstone() == golden("registry-tombstone.json")
 
 
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -1,4 +1,4 @@
-"""Upgrade: a second process of the same ingress takes the listener and the state, and both count as one."""
+"""Upgrades: a second process takes over the listening socket and the state; both share quotas and limits."""
 
 from __future__ import annotations
 
@@ -21,51 +21,53 @@
 from tests.peers import SETTINGS, Address, Caller, backend, command, config, entry, resp, run, until
 from tests.test_net_control import SECOND, call
 
-SEVEN = f"{7:016x}"  # the customer of the commands
-SMALL = SETTINGS | {"contracts": [{"name": "basic", "refill": 0.001, "burst": 4.0}]}
+CUSTOMER_7 = f"{7:016x}"  # the customer whose id the commands contain
+SMALL_BURST_SETTINGS = SETTINGS | {"contracts": [{"name": "basic", "refill": 0.001, "burst": 4.0}]}
 
 
 @asynccontextmanager
 async def process(settings: Config, path: Path) -> AsyncIterator[tuple[Ingress, asyncio.Event]]:
-    """What a process of the ingress does, from its start to its end."""
-    taken = await asyncio.to_thread(take_over, path)
-    served, stop = Ingress(settings, received_handover=taken, path=path), asyncio.Event()
-    task = asyncio.create_task(served.run(stop))
-    await until(lambda: path.is_socket() and served.process_group.links and served.process_group.links.successor_server)
+    """Run an ingress process, from takeover to shutdown, within this test process."""
+    received_handover = await asyncio.to_thread(take_over, path)
+    ingress = Ingress(settings, received_handover=received_handover, path=path)
+    stop = asyncio.Event()
+    task = asyncio.create_task(ingress.run(stop))
+    group = ingress.process_group
+    await until(lambda: path.is_socket() and group.links and group.links.successor_server)
     try:
-        yield served, stop
+        yield ingress, stop
         if stop.is_set():
             await task
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        served.clients.close()
-        served.pool.close()
-        if served.process_group.heartbeat_timer:
-            served.process_group.heartbeat_timer.cancel()
-        if served.process_group.links:
-            served.process_group.links.close()
+        ingress.clients.close()
+        ingress.pool.close()
+        if group.heartbeat_timer:
+            group.heartbeat_timer.cancel()
+        if group.links:
+            group.links.close()
 
 
-def where(served: Ingress) -> Address:
-    address: Address = served.clients.listening_socket.getsockname()
+def listen_address(ingress: Ingress) -> Address:
+    address: Address = ingress.clients.listening_socket.getsockname()
     return address
 
 
-def fleet(peer: Any, **changes: Any) -> Config:
+def ingress_config(peer: Any, **changes: Any) -> Config:
     return config(*(entry(peer.address, f"s{n}") for n in range(8)), control=SECOND, **changes)
 
 
-def test_the_second_process_takes_new_connections_and_the_first_ends(tmp_path: Path) -> None:
+def test_the_second_process_accepts_new_connections_and_the_first_ends(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer), path) as (first, stop):
-            address = where(first)
+        async with backend() as peer, process(ingress_config(peer), path) as (first, stop):
+            address = listen_address(first)
             kept = await Caller.to(address)
             assert await kept.ask(command("kept")) == b"kept"
-            async with process(fleet(peer), path) as (second, _):
+            async with process(ingress_config(peer), path) as (second, _):
                 await until(lambda: first.process_group.successor)
-                assert where(second) == address
+                assert listen_address(second) == address
                 assert await call(second, b"ready") == "ok\n"
                 fresh = await Caller.to(address)
                 assert await fresh.ask(command("fresh")) == b"fresh"
@@ -75,57 +77,57 @@
                 stop.set()
                 with pytest.raises(EOFError):
                     await kept.answer()
-                assert first.clients.is_ready  # the ingress goes on: nobody need turn away
+                assert first.clients.is_ready  # the second process serves, so clients need not leave the ingress
                 await until(lambda: not second.process_group.links or not second.process_group.links.links)
                 assert await fresh.ask(command("on")) == b"on"
 
     run(body())
 
 
-def test_a_customer_gets_its_burst_once_from_both(tmp_path: Path) -> None:
+def test_a_customer_gets_its_burst_once_from_both_processes(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer, settings=SMALL), path) as (first, _):
-            kept = await Caller.to(where(first))
+        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
+            kept = await Caller.to(listen_address(first))
             assert await kept.ask(command("1")) == b"1"
-            async with process(fleet(peer, settings=SMALL), path) as (second, _):
+            async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
                 await until(lambda: first.process_group.successor)
-                fresh = await Caller.to(where(second))
+                fresh = await Caller.to(listen_address(second))
                 assert await fresh.ask(command("2")) == b"2"
-                await until(lambda: first.gateway.customers[SEVEN].slice.level < 2.5)
+                await until(lambda: first.gateway.customers[CUSTOMER_7].slice.level < 2.5)
                 assert await kept.ask(command("3")) == b"3"
-                await until(lambda: second.gateway.customers[SEVEN].slice.level < 1.5)
+                await until(lambda: second.gateway.customers[CUSTOMER_7].slice.level < 1.5)
                 assert await fresh.ask(command("4")) == b"4"
                 assert str(await fresh.ask(command("5"))).startswith("BUSY")
-                await until(lambda: first.gateway.customers[SEVEN].slice.level < 0.5)
+                await until(lambda: first.gateway.customers[CUSTOMER_7].slice.level < 0.5)
                 assert str(await kept.ask(command("6"))).startswith("BUSY")
 
     run(body())
 
 
-def test_the_second_process_inherits_the_evidence(tmp_path: Path) -> None:
+def test_the_second_process_inherits_the_health_of_endpoints(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer), path) as (first, _):
+        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
             outliers = first.gateway.cluster.outliers
-            one = first.gateway.cluster.endpoints.by_id["s3"].health
+            health = first.gateway.cluster.endpoints.by_id["s3"].health
             while not outliers.ejected_count:
-                outliers.record_failure(one, first.clock(), Outcome.ERROR)
-            async with process(fleet(peer), path) as (second, _):
-                successor = second.gateway.cluster.endpoints.by_id["s3"].health
-                assert successor.snapshot() == one.snapshot()
+                outliers.record_failure(health, first.clock(), Outcome.ERROR)
+            async with process(ingress_config(peer), path) as (second, _):
+                inherited = second.gateway.cluster.endpoints.by_id["s3"].health
+                assert inherited.snapshot() == health.snapshot()
                 assert second.gateway.health()["health.ejected"] == 1
                 assert second.gateway.health()["health.healthy"] == 7
 
     run(body())
 
 
-def test_the_first_goes_on_when_the_second_dies(tmp_path: Path) -> None:
+def test_the_first_process_accepts_again_when_the_second_ends(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer), path) as (first, _):
-            address = where(first)
-            async with process(fleet(peer), path):
+        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
+            address = listen_address(first)
+            async with process(ingress_config(peer), path):
                 await until(lambda: first.process_group.successor)
             await until(lambda: not first.process_group.successor)
             caller = await Caller.to(address)
@@ -135,21 +137,21 @@
     run(body())
 
 
-def test_after_an_upgrade_that_failed_the_next_one_finds_the_first(tmp_path: Path) -> None:
+def test_after_failed_upgrades_the_next_process_takes_over_from_the_first(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer), path) as (first, _):
+        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
             for _ in range(2):
-                async with process(fleet(peer), path):
+                async with process(ingress_config(peer), path):
                     await until(lambda: first.process_group.successor is not None)
                 await until(
                     lambda: first.process_group.successor is None
                     and first.process_group.listen_task
                     and first.process_group.listen_task.done()
                 )
-            async with process(fleet(peer), path) as (last, _):
-                assert last.received_handover is not None and where(last) == where(first)
-                caller = await Caller.to(where(last))
+            async with process(ingress_config(peer), path) as (last, _):
+                assert last.received_handover is not None and listen_address(last) == listen_address(first)
+                caller = await Caller.to(listen_address(last))
                 assert await caller.ask(command()) == b"00000000000000aa"
 
     run(body())
@@ -160,46 +162,46 @@
         path = tmp_path / "there"
         async with (
             backend() as peer,
-            process(fleet(peer), path) as (first, stop),
-            process(fleet(peer), path) as (second, stop_second),
+            process(ingress_config(peer), path) as (first, stop),
+            process(ingress_config(peer), path) as (second, stop_second),
         ):
             await until(lambda: first.process_group.successor)
             stop.set()
-            async with process(fleet(peer), path) as (third, _):
+            async with process(ingress_config(peer), path) as (third, _):
                 await until(lambda: second.process_group.successor)
                 stop_second.set()
-                caller = await Caller.to(where(third))
+                caller = await Caller.to(listen_address(third))
                 assert await caller.ask(command("on")) == b"on"
                 assert third.requests.received_count == 1
 
     run(body())
 
 
-@pytest.mark.parametrize("where_called", [0, 1])
-def test_a_drain_goes_on_in_the_second_and_ends_by_either(tmp_path: Path, where_called: int) -> None:
+@pytest.mark.parametrize("resumed_index", [0, 1])
+def test_a_drain_continues_in_the_second_process_and_can_be_ended_at_either(tmp_path: Path, resumed_index: int) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer), path) as (first, _):
+        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
             assert await call(first, b"drain") == "ok\n"
-            async with process(fleet(peer), path) as (second, _):
+            async with process(ingress_config(peer), path) as (second, _):
                 await until(lambda: first.process_group.successor)
                 assert await call(second, b"ready") == "ok\n"
                 assert not second.clients.is_ready
-                assert await call([first, second][where_called], b"resume") == "ok\n"
+                assert await call([first, second][resumed_index], b"resume") == "ok\n"
                 await until(lambda: first.clients.is_ready and second.clients.is_ready)
-                caller = await Caller.to(where(second))
+                caller = await Caller.to(listen_address(second))
                 assert await caller.ask(resp(b"PING")) == b"PONG"
 
     run(body())
 
 
-def test_descriptors_hold_over_both(tmp_path: Path) -> None:
+def test_the_connection_limits_of_both_processes_stay_within_the_total(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer), path) as (first, _):
-            kept = [await Caller.to(where(first)) for _ in range(5)]
+        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
+            kept = [await Caller.to(listen_address(first)) for _ in range(5)]
             await until(lambda: len(first.clients.connections) == 5)
-            async with process(fleet(peer), path) as (second, _):
+            async with process(ingress_config(peer), path) as (second, _):
                 total, spare = (
                     second.config.max_client_connections,
                     second.config.max_client_connections // SPARE_DIVISOR + 1,
@@ -210,35 +212,35 @@
                     caller.writer.close()
                 await until(lambda: second.clients.max_connections == total - spare)
                 assert first.clients.max_connections == spare
-            await until(lambda: first.clients.max_connections == total)  # what the one that is gone had
+            await until(lambda: first.clients.max_connections == total)  # with the reserve of the ended process
 
     run(body())
 
 
-@pytest.mark.parametrize("leaving", ["none", "file", "socket"])
-def test_leavings_of_a_crash_are_replaced(tmp_path: Path, leaving: str) -> None:
+@pytest.mark.parametrize("leftover", ["none", "file", "socket"])
+def test_the_socket_file_left_by_a_crash_is_replaced(tmp_path: Path, leftover: str) -> None:
     async def body() -> None:
-        path = tmp_path / ("deep" * 40) / "there"  # deeper than a socket's address can say
+        path = tmp_path / ("deep" * 40) / "there"  # longer than a Unix socket address can be
         path.parent.mkdir()
-        if leaving == "file":
+        if leftover == "file":
             path.write_bytes(b"")
-        elif leaving == "socket":
+        elif leftover == "socket":
             short = tmp_path / "short"
             with socket.socket(socket.AF_UNIX) as sock:
                 sock.bind(str(short))
             short.rename(path)
         async with (
             backend() as peer,
-            process(fleet(peer), path) as (first, _),
-            process(fleet(peer), path) as (second, _),
+            process(ingress_config(peer), path) as (first, _),
+            process(ingress_config(peer), path) as (second, _),
         ):
             await until(lambda: first.process_group.successor)
-            assert where(first) == where(second)
+            assert listen_address(first) == listen_address(second)
 
     run(body())
 
 
-def test_a_process_before_that_makes_no_sense_is_told(tmp_path: Path) -> None:
+def test_a_malformed_handover_message_is_reported(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
 
@@ -252,10 +254,10 @@
     run(body())
 
 
-def test_what_another_process_says_wrongly_is_passed_over(tmp_path: Path) -> None:
+def test_malformed_messages_from_another_process_are_ignored(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer), path) as (first, _):
+        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
             reader, writer = await asyncio.open_unix_connection(str(path))
             writer.write(b'{"spent": [1]}\nnonsense\n[]\n')
             writer.write(b'{"spent": ["c", "basic", 1, 3.0, true, 1, "", 0.0]}\n')
--- a/tests/test_net_members.py
+++ b/tests/test_net_members.py
@@ -1,4 +1,4 @@
-"""Membership of real processes: chains, SIGSTOP, SIGKILL, lost links, upgrades under load."""
+"""Membership of real processes: chains, SIGSTOP, SIGKILL, lost links and upgrades under load."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 from ingress.process_group.presence import Presence, start_ticks_of
 from tests.peers import STARTED, Address, Caller, Peer, backend, command, config_text, entry, resp, until
-from tests.test_net_handover import SEVEN, SMALL, fleet, process, where
+from tests.test_net_handover import CUSTOMER_7, SMALL_BURST_SETTINGS, ingress_config, listen_address, process
 from tests.test_net_restart import free_port
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -30,11 +30,12 @@
     uvloop.run(asyncio.wait_for(body, 90.0))
 
 
-class Fleet:
-    """The processes of one ingress, real ones."""
+class IngressProcesses:
+    """The operating system processes of one ingress."""
 
     def __init__(self, folder: Path, peer: Peer, **changes: Any) -> None:
-        self.folder, self.port = folder, free_port()
+        self.folder = folder
+        self.port = free_port()
         self.path = folder / "config.json"
         servers = (entry(peer.address, f"s{n}") for n in range(8))
         self.path.write_text(config_text(*servers, listen=f"127.0.0.1:{self.port}", **changes), encoding="utf-8")
@@ -75,21 +76,20 @@
 
 
 async def settled(controls: list[Address], count: int) -> float:
-    """Waits until all have the same view of so many, one of which accepts; how long that took (s)."""
-    began = time.monotonic()
+    """Wait until all have the same view of `count` processes, one of which accepts; return the seconds that it took."""
+    started_at = time.monotonic()
     while True:
         views = []
         for control in controls:
             rows = await members(control)
             views.append(tuple((row.split()[1], " leads" in row, " accepts" in row, " silent" in row) for row in rows))
-        one = set(views)
-        if len(one) == 1 and len(views[0]) == count and sum(accepts for _, _, accepts, _ in views[0]) == 1:
-            return time.monotonic() - began
+        if len(set(views)) == 1 and len(views[0]) == count and sum(accepts for _, _, accepts, _ in views[0]) == 1:
+            return time.monotonic() - started_at
         await asyncio.sleep(0.02)
 
 
-async def held(controls: list[Address]) -> tuple[int, int]:
-    """What all together may hold, each by its own word."""
+async def total_reserve(controls: list[Address]) -> tuple[int, int]:
+    """Return the sums of the reserves, as each process reports its own: client and endpoint connections."""
     sums = [0, 0]
     for control in controls:
         for row in await members(control):
@@ -104,13 +104,13 @@
 @asynccontextmanager
 async def ingress(
     folder: Path, count: int
-) -> AsyncIterator[tuple[Fleet, list[tuple[asyncio.subprocess.Process, Address]]]]:
+) -> AsyncIterator[tuple[IngressProcesses, list[tuple[asyncio.subprocess.Process, Address]]]]:
     async with backend() as peer:
-        found = Fleet(folder, peer)
-        yield found, [await found.start() for _ in range(count)]
+        processes = IngressProcesses(folder, peer)
+        yield processes, [await processes.start() for _ in range(count)]
 
 
-def test_a_chain_of_processes_settles_on_one_view_and_keeps_the_sum(tmp_path: Path) -> None:
+def test_a_chain_of_processes_settles_on_one_view_and_keeps_the_total(tmp_path: Path) -> None:
     async def body() -> None:
         async with ingress(tmp_path, 4) as (_, started_ones):
             controls = [control for _, control in started_ones]
@@ -121,17 +121,17 @@
             total = (await ask(controls[0], "show-members")).split("\n")[1]
             limit = tuple(map(int, re.findall(r"\d+", total)))
             for _ in range(10):
-                sums = await held(controls)
+                sums = await total_reserve(controls)
                 assert sums[0] <= limit[0] and sums[1] <= limit[1]
-            while await held(controls) != limit:  # and nothing of it is lost
+            while await total_reserve(controls) != limit:  # and nothing of it is lost
                 await asyncio.sleep(0.02)
 
     run(body())
 
 
-def test_one_that_is_stopped_is_replaced_and_when_it_is_back_one_alone_accepts(tmp_path: Path) -> None:
+def test_a_stopped_process_is_replaced_and_after_it_continues_only_one_accepts(tmp_path: Path) -> None:
     async def body() -> None:
-        async with ingress(tmp_path, 2) as (there, started_ones):
+        async with ingress(tmp_path, 2) as (processes, started_ones):
             (first, one), (second, two) = started_ones
             await settled([one, two], 2)
             second.send_signal(signal.SIGSTOP)
@@ -140,10 +140,10 @@
                 await asyncio.sleep(0.05)
             rows = await members(one)
             assert " accepts" in rows[0] and " silent" in rows[1]
-            before = await held([one])
-            caller = await Caller.to(there.address)  # the one that is stopped takes none
+            before = await total_reserve([one])
+            caller = await Caller.to(processes.address)  # the stopped process accepts none
             assert await caller.ask(command()) == b"00000000000000aa"
-            assert await held([one]) <= before  # what the other may hold is still the other's
+            assert await total_reserve([one]) <= before  # the stopped process keeps its reserve
             second.send_signal(signal.SIGCONT)
             await settled([one, two], 2)
             assert " accepts" in (await members(one))[1]
@@ -153,21 +153,21 @@
     run(body())
 
 
-def test_the_middle_of_a_chain_that_is_killed_leaves_one_view_and_all_it_had(tmp_path: Path) -> None:
+def test_when_the_middle_of_a_chain_is_killed_one_view_and_all_reserves_remain(tmp_path: Path) -> None:
     async def body() -> None:
-        async with ingress(tmp_path, 3) as (there, started_ones):
+        async with ingress(tmp_path, 3) as (processes, started_ones):
             (_, one), (middle, two), (_, three) = started_ones
             await settled([one, two, three], 3)
             middle.send_signal(signal.SIGKILL)
             await middle.wait()
             await settled([one, three], 2)
             limit = tuple(map(int, re.findall(r"\d+", (await ask(one, "show-members")).split("\n")[1])))
-            while await held([one, three]) != limit:
+            while await total_reserve([one, three]) != limit:
                 await asyncio.sleep(0.02)
-            # A change goes through the link that was made anew.
+            # The drain is sent over the new link between the remaining processes.
             assert (await ask(three, "drain")).startswith("ok")
             while not any("1|g" in line for line in [await ask(one, "ready")]):
-                caller = await Caller.to(there.address)
+                caller = await Caller.to(processes.address)
                 answer = await caller.ask(PING)
                 caller.writer.close()
                 if "draining" in str(answer):
@@ -177,9 +177,11 @@
     run(body())
 
 
-def test_the_eldest_killed_hands_the_lead_on_and_the_youngest_killed_the_listener_back(tmp_path: Path) -> None:
+def test_the_next_oldest_leads_after_the_oldest_is_killed_and_accepts_after_the_youngest_is_killed(
+    tmp_path: Path,
+) -> None:
     async def body() -> None:
-        async with ingress(tmp_path, 3) as (there, started_ones):
+        async with ingress(tmp_path, 3) as (processes, started_ones):
             (eldest, _), (_, two), (youngest, three) = started_ones
             await settled([two, three], 3)
             eldest.send_signal(signal.SIGKILL)
@@ -189,17 +191,17 @@
             youngest.send_signal(signal.SIGKILL)
             await youngest.wait()
             await settled([two], 1)
-            caller = await Caller.to(there.address)
+            caller = await Caller.to(processes.address)
             assert await caller.ask(command()) == b"00000000000000aa"
-            fresh = await there.start()  # and the next one finds it
-            await settled([two, fresh[1]], 2)
+            _, new_control = await processes.start()  # the next process finds the remaining one
+            await settled([two, new_control], 2)
 
     run(body())
 
 
 def test_twenty_upgrades_under_load_lose_no_request(tmp_path: Path) -> None:
     async def body() -> None:
-        async with ingress(tmp_path, 1) as (there, started_ones):
+        async with ingress(tmp_path, 1) as (processes, started_ones):
             counts = {"answered": 0, "lost": 0}
             over = asyncio.Event()
 
@@ -208,17 +210,17 @@
                 for count in itertools.count():
                     if over.is_set():
                         return
-                    asks = command(customer=number * 100_000 + count % 1000)  # each well inside its quota
+                    request = command(customer=number * 100_000 + count % 1000)  # each well within its quota
                     if caller is None:
-                        caller = await Caller.to(there.address)
+                        caller = await Caller.to(processes.address)
                     try:
-                        assert await caller.ask(asks) == b"00000000000000aa"
+                        assert await caller.ask(request) == b"00000000000000aa"
                         counts["answered"] += 1
                     except (EOFError, ConnectionError):
-                        # It was let go between two requests, or the request crossed the close: once more.
-                        caller = await Caller.to(there.address)
+                        # The connection was closed between two requests, or as the request was sent: retry once.
+                        caller = await Caller.to(processes.address)
                         try:
-                            assert await caller.ask(asks) == b"00000000000000aa"
+                            assert await caller.ask(request) == b"00000000000000aa"
                             counts["answered"] += 1
                         except (EOFError, ConnectionError):
                             counts["lost"] += 1
@@ -228,10 +230,10 @@
             clients = [asyncio.create_task(client(n)) for n in range(4)]
             old = started_ones[0]
             for _ in range(20):
-                fresh = await there.start()
+                new = await processes.start()
                 old[0].send_signal(signal.SIGTERM)
                 assert await old[0].wait() == 0
-                old = fresh
+                old = new
             over.set()
             await asyncio.gather(*clients)
             assert counts["lost"] == 0 and counts["answered"] > 100
@@ -240,13 +242,13 @@
     run(body())
 
 
-def test_a_link_that_is_lost_between_two_that_live_is_made_anew(tmp_path: Path) -> None:
+def test_a_lost_link_between_two_running_processes_is_reconnected(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
         async with (
             backend() as peer,
-            process(fleet(peer), path) as (first, _),
-            process(fleet(peer), path) as (second, _),
+            process(ingress_config(peer), path) as (first, _),
+            process(ingress_config(peer), path) as (second, _),
         ):
             await until(
                 lambda: first.process_group.membership
@@ -259,7 +261,7 @@
                 and first.process_group.membership
                 and second.process_group.membership
             )
-            sums = first.config.max_client_connections
+            total = first.config.max_client_connections
             for link in list(first.process_group.links.links):
                 assert link.transport is not None
                 link.transport.abort()
@@ -274,38 +276,38 @@
                 and second.process_group.membership
                 and (
                     first.process_group.membership.local.reserve[0] + second.process_group.membership.local.reserve[0]
-                    == sums
+                    == total
                 )
             )
             assert not first.clients.acceptor.accepting and second.clients.acceptor.accepting
-            assert where(first) == where(second)
+            assert listen_address(first) == listen_address(second)
 
     run(body())
 
 
-def test_what_is_spent_at_one_counts_once_at_the_other(tmp_path: Path) -> None:
-    """Found on an upgrade day: the row of a process that had been alone was old, so that it passed for lost and was
-    reached by a second link; all that it spent counted twice, and customers were refused inside their quotas."""
+def test_usage_of_one_process_counts_once_at_the_other(tmp_path: Path) -> None:
+    """The member record of a process that had been alone was old, so its link was taken for lost and a second one was
+    made. All its usage counted twice, and customers were refused within their quotas."""
 
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer, settings=SMALL), path) as (first, _):
-            kept = await Caller.to(where(first))
-            await asyncio.sleep(0.5)  # alone, it tells nobody
-            async with process(fleet(peer, settings=SMALL), path) as (second, _):
+        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
+            kept = await Caller.to(listen_address(first))
+            await asyncio.sleep(0.5)  # while it is alone, it does not update its record
+            async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
                 await until(lambda: first.process_group.successor)
-                await asyncio.sleep(0.6)  # longer than a link may be silent
+                await asyncio.sleep(0.6)  # longer than the delay before a reconnect
                 assert first.process_group.links and second.process_group.links
                 assert len(first.process_group.links.links) == len(second.process_group.links.links) == 1
                 assert second.process_group.membership and not second.process_group.membership.silent_processes(
                     time.monotonic()
                 )
                 assert await kept.ask(command("1")) == b"1"
-                await until(lambda: SEVEN in second.gateway.customers)
+                await until(lambda: CUSTOMER_7 in second.gateway.customers)
                 await asyncio.sleep(0.1)
-                assert 2.9 < second.gateway.customers[SEVEN].slice.level < 3.1  # 4, less one
-                two = next(iter(second.process_group.links.links))
-                two.is_newer = False
+                assert 2.9 < second.gateway.customers[CUSTOMER_7].slice.level < 3.1  # 4, less one
+                link = next(iter(second.process_group.links.links))
+                link.is_newer = False
                 second.process_group.links.connect(first.process_group.links.presence.name)
                 await until(lambda: second.process_group.links and not second.process_group.links.connecting)
                 await until(lambda: second.process_group.links and len(second.process_group.links.links) == 1)
@@ -313,103 +315,104 @@
     run(body())
 
 
-def test_links_that_form_a_ring_count_each_unit_once_and_pass_each_word_on_once(tmp_path: Path) -> None:
-    """Found by a probe: one request was told 4,250 times in 0.5 s, and its customer's bucket was empty at all."""
+def test_over_links_in_a_ring_each_unit_counts_once_and_each_message_is_forwarded_once(tmp_path: Path) -> None:
+    """The usage of one request was forwarded 4,250 times within 0.5 s, and emptied the customer's bucket everywhere."""
 
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer, settings=SMALL), path) as (first, _):
-            kept = await Caller.to(where(first))
+        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
+            kept = await Caller.to(listen_address(first))
             async with (
-                process(fleet(peer, settings=SMALL), path) as (second, _),
-                process(fleet(peer, settings=SMALL), path) as (third, _),
+                process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _),
+                process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (third, _),
             ):
                 await until(lambda: first.process_group.successor and second.process_group.successor)
                 assert first.process_group.links and third.process_group.links
                 third.process_group.links.connect(
                     first.process_group.links.presence.name
-                )  # as when the one between was stopped
+                )  # as after the process between them was stopped
                 await until(lambda: first.process_group.links and len(first.process_group.links.links) == 2)
                 await until(lambda: third.process_group.links and len(third.process_group.links.links) == 2)
                 assert await kept.ask(command("1")) == b"1"
-                await until(lambda: all(SEVEN in one.gateway.customers for one in (second, third)))
+                await until(lambda: all(CUSTOMER_7 in instance.gateway.customers for instance in (second, third)))
                 await asyncio.sleep(0.3)
-                for one in (first, second, third):
-                    assert 2.9 < one.gateway.customers[SEVEN].slice.level < 3.1  # 4, less one
-                    assert one.gateway.customers[SEVEN].concurrency.in_flight_elsewhere == 0
+                for instance in (first, second, third):
+                    assert 2.9 < instance.gateway.customers[CUSTOMER_7].slice.level < 3.1  # 4, less one
+                    assert instance.gateway.customers[CUSTOMER_7].concurrency.in_flight_elsewhere == 0
                 assert (
                     second.process_group.ledger.received_count <= 4 and third.process_group.ledger.received_count <= 4
-                )  # begun and ended, by two ways
+                )  # the start and the end of the attempt, over two paths
                 first.process_group.drain_all(True)
                 await until(lambda: second.gateway.draining.by_operator and third.gateway.draining.by_operator)
                 third.process_group.drain_all(False)
                 await until(lambda: not first.gateway.draining.by_operator and not second.gateway.draining.by_operator)
                 await asyncio.sleep(0.1)
-                assert not any(one.gateway.draining.by_operator for one in (first, second, third))
+                assert not any(instance.gateway.draining.by_operator for instance in (first, second, third))
 
     run(body())
 
 
-def test_what_is_spent_while_the_link_is_lost_is_told_when_it_is_back(tmp_path: Path) -> None:
+def test_usage_while_the_link_is_lost_is_sent_after_the_reconnect(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(fleet(peer, settings=SMALL), path) as (first, _):
-            kept = await Caller.to(where(first))
-            async with process(fleet(peer, settings=SMALL), path) as (second, _):
+        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
+            kept = await Caller.to(listen_address(first))
+            async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
                 await until(lambda: first.process_group.successor)
                 assert first.process_group.links and second.process_group.links
                 assert await kept.ask(command("1")) == b"1"
-                await until(lambda: SEVEN in second.gateway.customers)
+                await until(lambda: CUSTOMER_7 in second.gateway.customers)
                 for link in list(first.process_group.links.links):
                     link.transport.abort()  # type: ignore[union-attr]
-                assert await kept.ask(command("2")) == b"2"  # before the loop has even seen the end
+                assert await kept.ask(command("2")) == b"2"  # before the event loop has noticed the loss
                 await until(lambda: first.process_group.links and first.process_group.links.links)
-                await until(lambda: second.gateway.customers[SEVEN].slice.level < 2.1)
+                await until(lambda: second.gateway.customers[CUSTOMER_7].slice.level < 2.1)
                 await asyncio.sleep(0.1)
-                assert 1.9 < second.gateway.customers[SEVEN].slice.level < 2.1
-                assert second.gateway.customers[SEVEN].concurrency.in_flight_elsewhere == 0
+                assert 1.9 < second.gateway.customers[CUSTOMER_7].slice.level < 2.1
+                assert second.gateway.customers[CUSTOMER_7].concurrency.in_flight_elsewhere == 0
 
     run(body())
 
 
-def test_the_middle_of_a_chain_stopped_and_back_counts_nothing_twice(tmp_path: Path) -> None:
-    """The youngest reaches the eldest meanwhile, and with the one that is back the links form a ring."""
+def test_after_the_middle_of_a_chain_was_stopped_it_counts_nothing_twice(tmp_path: Path) -> None:
+    """The youngest process connects to the oldest meanwhile, so the links form a ring once the middle one continues."""
 
     async def body() -> None:
-        async with ingress(tmp_path, 3) as (there, started_ones):
+        async with ingress(tmp_path, 3) as (processes, started_ones):
             (_, one), (middle, two), (_, three) = started_ones
             await settled([one, two, three], 3)
             middle.send_signal(signal.SIGSTOP)
-            while sum(" silent" in row for row in await members(three)) != 1:  # it has reached the eldest
+            while sum(" silent" in row for row in await members(three)) != 1:  # then it connects to the oldest
                 await asyncio.sleep(0.05)
             middle.send_signal(signal.SIGCONT)
             await settled([one, two, three], 3)
-            before = await words(two)
-            caller = await Caller.to(there.address)
+            before = await received_usage_messages(two)
+            caller = await Caller.to(processes.address)
             for number in range(5):
                 assert await caller.ask(command(customer=number)) == b"00000000000000aa"
             await asyncio.sleep(0.5)
-            assert 10 <= await words(two) - before <= 40  # two for each request, by two or three ways
+            # Two messages for each request, over two or three paths.
+            assert 10 <= await received_usage_messages(two) - before <= 40
 
     run(body())
 
 
-async def words(control: Address) -> int:
+async def received_usage_messages(control: Address) -> int:
     found = re.search(r"words: \d+ told, (\d+) heard", await ask(control, "show-members"))
     assert found is not None
     return int(found[1])
 
 
-def test_what_a_crash_left_names_nobody_even_if_its_process_id_is_used_again(tmp_path: Path) -> None:
+def test_sockets_left_by_a_crash_are_ignored_even_if_the_process_id_is_reused(tmp_path: Path) -> None:
     path = tmp_path / "there"
     presence = Presence(path)
     sock = presence.announce()
     assert sock is not None
     start_ticks = start_ticks_of(os.getpid())
     assert start_ticks is not None and start_ticks_of(2**22 + 1) is None
-    (tmp_path / f"there.{os.getpid()}-{start_ticks + 1}").touch()  # another process had this id
+    (tmp_path / f"there.{os.getpid()}-{start_ticks + 1}").touch()  # another process with the same id
     (tmp_path / "there.99999999-5").touch()
-    (tmp_path / "there.new.7").touch()  # no process's name
+    (tmp_path / "there.new.7").touch()  # not the name of a process
     (tmp_path / "thereabouts.1-1").touch()
     assert presence.list_processes() == [presence.name]
     assert sorted(p.name for p in tmp_path.iterdir()) == sorted(
--- a/tests/test_net_restart.py
+++ b/tests/test_net_restart.py
@@ -1,4 +1,4 @@
-"""The real program as a process: it starts, serves, and ends on SIGTERM with every answer given."""
+"""The program as a process: it starts, serves, and on SIGTERM ends after it has answered every request."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
             await process.wait()
 
 
-def test_a_planned_restart_loses_nothing(tmp_path: Path) -> None:
+def test_a_planned_restart_loses_no_request(tmp_path: Path) -> None:
     ended = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -102,16 +102,16 @@
             slow.writer.write(command("slow"))
             assert await idle.ask(command("before")) == b"before"
             process.send_signal(signal.SIGTERM)
-            at = time.monotonic()
-            # New connections and those that stand are served on for a while.
+            terminated_at = time.monotonic()
+            # New and existing connections are served for a while.
             fresh = await Caller.to(address)
             assert await fresh.ask(command("fresh")) == b"fresh"
             assert await idle.ask(command("after")) == b"after"
             with pytest.raises((EOFError, ConnectionError)):
                 await idle.answer()
-            assert time.monotonic() - at >= 0.4
+            assert time.monotonic() - terminated_at >= 0.4
             with pytest.raises(ConnectionError):
-                while True:  # the listener closes a moment later
+                while True:  # the listening socket closes a moment later
                     (await Caller.to(address)).writer.close()
                     await asyncio.sleep(0.01)
             ended.set()
@@ -123,31 +123,31 @@
     run(body())
 
 
-def test_an_upgrade_loses_nothing(tmp_path: Path) -> None:
-    """Clients ask on without a break, by new connections and by kept ones."""
+def test_an_upgrade_loses_no_request(tmp_path: Path) -> None:
+    """Clients send requests without a pause, over new connections and over a persistent one."""
 
     async def body() -> None:
         async with backend() as peer, program(peer, tmp_path) as (first, address):
             over = asyncio.Event()
             answers: list[bytes] = []
 
-            async def anew() -> None:
+            async def use_new_connections() -> None:
                 while not over.is_set():
                     caller = await Caller.to(address)
                     answers.append(await caller.ask(command("anew", customer=1)))
                     caller.writer.close()
-                    await asyncio.sleep(0.02)  # inside the quota
+                    await asyncio.sleep(0.02)  # within the quota
 
-            async def keep() -> None:
+            async def use_one_connection() -> None:
                 caller = await Caller.to(address)
                 while not over.is_set():
                     try:
                         answers.append(await caller.ask(command("kept", customer=2)))
-                    except (EOFError, ConnectionError):  # let go between two requests
+                    except (EOFError, ConnectionError):  # the connection was closed between two requests
                         caller = await Caller.to(address)
                     await asyncio.sleep(0.02)
 
-            asking = [asyncio.create_task(anew()), asyncio.create_task(keep())]
+            clients = [asyncio.create_task(use_new_connections()), asyncio.create_task(use_one_connection())]
             control = ("127.0.0.1", free_port())
             source = json.loads((tmp_path / "config.json").read_text(encoding="utf-8"))
             (tmp_path / "second.json").write_text(
@@ -162,7 +162,7 @@
                 before = len(answers)
                 await until(lambda: len(answers) > before + 4)
                 over.set()
-                await asyncio.gather(*asking)
+                await asyncio.gather(*clients)
                 assert set(answers) == {b"anew", b"kept"}
             finally:
                 second.kill()
@@ -171,27 +171,27 @@
     run(body())
 
 
-def test_a_reload_seeks_discovery_at_its_new_address_and_survives_a_bad_file(tmp_path: Path) -> None:
+def test_a_reload_uses_the_new_discovery_address_and_survives_an_invalid_file(tmp_path: Path) -> None:
     async def body() -> None:
-        asked: list[bytes] = []
+        requests: list[bytes] = []
 
         async def agent(_: int, reader: Reader, writer: Writer) -> None:
-            asked.append(await reader.readline())
+            requests.append(await reader.readline())
             await reader.read()
 
         async with backend() as peer, Peer(agent) as moved, program(peer, tmp_path) as (process, address):
             path = tmp_path / "config.json"
-            good = path.read_text(encoding="utf-8")
+            valid_text = path.read_text(encoding="utf-8")
             path.write_text("{", encoding="utf-8")
             process.send_signal(signal.SIGHUP)
             caller = await Caller.to(address)
             assert await caller.ask(command()) == b"00000000000000aa"
             host, port = moved.address
-            path.write_text(good.replace('127.0.0.1:1"', f'{host}:{port}"'), encoding="utf-8")
-            while not asked:
+            path.write_text(valid_text.replace('127.0.0.1:1"', f'{host}:{port}"'), encoding="utf-8")
+            while not requests:
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.05)
-            assert asked[0].startswith(b"GET /api/targets HTTP")
+            assert requests[0].startswith(b"GET /api/targets HTTP")
             assert await caller.ask(command("00000000000000ab")) == b"00000000000000ab"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
@@ -199,22 +199,22 @@
     run(body())
 
 
-def test_what_is_still_open_is_answered_before_sigkill(tmp_path: Path) -> None:
+def test_open_requests_are_answered_before_sigkill(tmp_path: Path) -> None:
     async def body() -> None:
         async with backend(b"") as peer, program(peer, tmp_path) as (process, address):
             caller = await Caller.to(address)
             caller.writer.write(command(d=60_000))
             process.send_signal(signal.SIGTERM)
-            at = time.monotonic()
+            terminated_at = time.monotonic()
             assert str(await caller.answer()) == "ERR failed"
             assert await process.wait() == 0
-            longest = 2.0  # the longest deadline in the settings
-            assert time.monotonic() - at < longest + graceful_shutdown.SIGKILL_DELAY
+            max_deadline_s = 2.0  # of the plans in the settings
+            assert time.monotonic() - terminated_at < max_deadline_s + graceful_shutdown.SIGKILL_DELAY
 
     run(body())
 
 
-def test_an_address_that_is_taken_is_told(tmp_path: Path) -> None:
+def test_an_address_in_use_is_reported(tmp_path: Path) -> None:
     async def body() -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             path = tmp_path / "config.json"
--- a/tests/test_usage_ledger.py
+++ b/tests/test_usage_ledger.py
@@ -1,8 +1,9 @@
-"""Usage totals between the processes of one ingress, with no sockets: lost, doubled, late."""
+"""Usage totals between the processes of one ingress, without sockets: lost, duplicated and late messages."""
 
 from __future__ import annotations
 
 import random
+from collections.abc import Mapping
 
 import pytest
 from hypothesis import given, settings
@@ -13,35 +14,37 @@
 from ingress.process_group.usage_ledger import OpenAttempts, UsageLedger, UsageTotals, read_usage_totals
 
 
-class Side:
-    """A process: its ledger, and what its buckets have counted."""
+class Process:
+    """A simulated process: its ledger, and what its buckets have counted."""
 
     def __init__(self, name: str) -> None:
         self.ledger = UsageLedger(name)
         self.units: dict[str, float] = {}
-        self.inside: dict[str, float] = {}
-        self.out: dict[str, int] = {}
-        self.work: dict[str, float] = {}
-
-    def count(self, spent: QuotaUsage) -> None:
-        self.units[spent.customer] = self.units.get(spent.customer, 0.0) + spent.units
-        self.inside[spent.customer] = self.inside.get(spent.customer, 0.0) + spent.units * spent.within_quota
-        self.out[spent.customer] = self.out.get(spent.customer, 0) + spent.attempts_delta
-        if spent.slow_start_work:
-            self.work[spent.endpoint_id] = self.work.get(spent.endpoint_id, 0.0) + spent.slow_start_work
-
-    def spend(self, spent: QuotaUsage) -> UsageTotals:
-        self.count(spent)
-        return self.ledger.record(spent)
+        self.within_quota: dict[str, float] = {}
+        self.open_attempts: dict[str, int] = {}
+        self.slow_start_work: dict[str, float] = {}
+
+    def count(self, usage: QuotaUsage) -> None:
+        customer = usage.customer
+        endpoint_id = usage.endpoint_id
+        self.units[customer] = self.units.get(customer, 0.0) + usage.units
+        self.within_quota[customer] = self.within_quota.get(customer, 0.0) + usage.units * usage.within_quota
+        self.open_attempts[customer] = self.open_attempts.get(customer, 0) + usage.attempts_delta
+        if usage.slow_start_work:
+            self.slow_start_work[endpoint_id] = self.slow_start_work.get(endpoint_id, 0.0) + usage.slow_start_work
+
+    def spend(self, usage: QuotaUsage) -> UsageTotals:
+        self.count(usage)
+        return self.ledger.record(usage)
 
     def receive(self, totals: UsageTotals) -> bool:
-        news = self.ledger.receive(totals)
-        for spent in news:
-            self.count(spent)
-        return bool(news)
+        new_usages = self.ledger.receive(totals)
+        for usage in new_usages:
+            self.count(usage)
+        return bool(new_usages)
 
 
-STEP = st.tuples(
+USAGE = st.tuples(
     st.integers(0, 2),
     st.integers(0, 3),
     st.sampled_from([0.0, 1.0, 2.5]),
@@ -52,86 +55,98 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(steps=st.lists(STEP, max_size=40), order=st.randoms(use_true_random=False))
-def test_each_unit_counts_once_at_each_process_with_lost_doubled_and_late_messages(
-    steps: list[tuple[int, int, float, bool, int, str]], order: random.Random
+@given(usages=st.lists(USAGE, max_size=40), order=st.randoms(use_true_random=False))
+def test_each_unit_counts_once_at_each_process_with_lost_duplicated_and_late_messages(
+    usages: list[tuple[int, int, float, bool, int, str]], order: random.Random
 ) -> None:
-    sides = [Side(f"p{n}") for n in range(3)]
+    processes = [Process(f"p{n}") for n in range(3)]
     sent: list[UsageTotals] = []
-    for who, customer, units, inside, out, backend in steps:
+    for index, customer, units, within_quota, attempts_delta, endpoint_id in usages:
         sent.append(
-            sides[who].spend(
+            processes[index].spend(
                 QuotaUsage(
-                    f"c{customer}", "basic", 1, units, inside and units > 0, out, backend, 0.5 if backend else 0.0
+                    f"c{customer}",
+                    "basic",
+                    1,
+                    units,
+                    within_quota and units > 0,
+                    attempts_delta,
+                    endpoint_id,
+                    0.5 if endpoint_id else 0.0,
                 )
             )
         )
-    some = [totals for totals in sent if order.random() < 0.6] * 2
-    order.shuffle(some)
-    for totals in some:
-        for side in sides:
-            side.receive(totals)
-    for _ in range(2):  # links made anew, in a ring: all comes to all
-        for one, other in ((0, 1), (1, 2), (2, 0)):
-            for totals in list(sides[one].ledger.all_totals()):
-                sides[other].receive(totals)
-    for side in sides[1:]:
-        for mine, first in (
-            (side.units, sides[0].units),
-            (side.inside, sides[0].inside),
-            (side.out, sides[0].out),
-            (side.work, sides[0].work),
+    received = [totals for totals in sent if order.random() < 0.6] * 2
+    order.shuffle(received)
+    for totals in received:
+        for process in processes:
+            process.receive(totals)
+    for _ in range(2):  # new links in a ring, over which all totals reach all processes
+        for sender, receiver in ((0, 1), (1, 2), (2, 0)):
+            for totals in list(processes[sender].ledger.all_totals()):
+                processes[receiver].receive(totals)
+    first = processes[0]
+    for process in processes[1:]:
+        for counted, expected in (
+            (process.units, first.units),
+            (process.within_quota, first.within_quota),
+            (process.open_attempts, first.open_attempts),
+            (process.slow_start_work, first.slow_start_work),
         ):
-            assert {k: round(v, 6) for k, v in mine.items() if v} == {k: round(v, 6) for k, v in first.items() if v}
+            assert nonzero(counted) == nonzero(expected)
+
+
+def nonzero(amounts: Mapping[str, float]) -> dict[str, float]:
+    return {name: round(amount, 6) for name, amount in amounts.items() if amount}
 
 
-def test_totals_that_come_back_by_another_way_are_not_new() -> None:
-    one, two, three = Side("p1"), Side("p2"), Side("p3")
+def test_totals_that_arrive_again_over_another_path_are_not_new() -> None:
+    one, two, three = Process("p1"), Process("p2"), Process("p3")
     totals = one.spend(QuotaUsage("c", "basic", 1, 1.0, True, 1))
     assert two.receive(totals) and three.receive(totals)
     assert not two.receive(totals) and not three.receive(totals) and not one.receive(totals)
     assert two.units == three.units == {"c": 1.0} and two.ledger.duplicate_count == 1
 
 
-def test_a_successor_counts_from_the_totals_it_was_given() -> None:
-    old, new = Side("p1"), Side("p2")
+def test_a_successor_counts_what_exceeds_the_totals_of_the_handover() -> None:
+    old, new = Process("p1"), Process("p2")
     totals = old.spend(QuotaUsage("c", "basic", 1, 3.0, True, 1))
     old.ledger.assign_uncounted_attempts(
         {"c": OpenAttempts("basic", 1, 1), "d": OpenAttempts("basic", 1, 2)}
-    )  # d's attempts began when nobody else was there
+    )  # d's attempts began while there was no other process
     new.ledger.load(old.ledger.all_totals())
-    assert not new.receive(totals)  # it is in the buckets that it was given
+    assert not new.receive(totals)  # the buckets of the handover include it
     assert new.receive(old.spend(QuotaUsage("c", "basic", 1, 2.0, True, 0))) and new.units == {"c": 2.0}
     new.receive(old.spend(QuotaUsage("d", "basic", 1, attempts_delta=-1)))
-    assert new.out["d"] == -1
-    assert {s.customer: s.attempts_delta for s in new.ledger.process_ended("p1")} == {"c": -1, "d": -1}
+    assert new.open_attempts["d"] == -1
+    assert {usage.customer: usage.attempts_delta for usage in new.ledger.process_ended("p1")} == {"c": -1, "d": -1}
 
 
 def test_attempts_of_an_ended_process_finish_and_its_usage_still_counts() -> None:
-    old, new = Side("p1"), Side("p2")
+    old, new = Process("p1"), Process("p2")
     new.receive(old.spend(QuotaUsage("c", "basic", 1, 1.0, True, 1)))
     late = old.spend(QuotaUsage("c", "basic", 1, 1.0, True, 1))
-    for spent in new.ledger.process_ended("p1"):
-        new.count(spent)
+    for usage in new.ledger.process_ended("p1"):
+        new.count(usage)
     assert new.ledger.process_ended("p1") == []
-    assert new.receive(late)  # by way of another
-    assert new.units == {"c": 2.0} and new.out == {"c": 0}
+    assert new.receive(late)  # forwarded by another process
+    assert new.units == {"c": 2.0} and new.open_attempts == {"c": 0}
 
 
 def test_old_epochs_are_dropped_and_open_attempts_are_carried_over(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(usage_ledger_module, "MAX_EPOCH_ENTRIES", 4)
-    old, new = Side("p1"), Side("p2")
+    old, new = Process("p1"), Process("p2")
     messages = [old.spend(QuotaUsage(f"c{n}", "basic", 1, 1.0, True, 1)) for n in range(20)]
     for totals in messages:
         new.receive(totals)
     assert sum(new.units.values()) == 20.0
-    assert [len(side.ledger.epochs["p1"]) for side in (old, new)] == [2, 2]
+    assert [len(process.ledger.epochs["p1"]) for process in (old, new)] == [2, 2]
     assert len(list(new.ledger.all_totals())) <= 8
-    assert not new.receive(messages[0])  # of an epoch that is no longer kept: it counted once
+    assert not new.receive(messages[0])  # from an epoch that is no longer retained; it was counted before
     assert sum(new.units.values()) == 20.0
     for n in range(20):
         new.receive(old.spend(QuotaUsage(f"c{n}", "basic", 1, attempts_delta=-1)))
-    assert set(new.out.values()) == {0} and new.ledger.process_ended("p1") == []
+    assert set(new.open_attempts.values()) == {0} and new.ledger.process_ended("p1") == []
 
 
 @pytest.mark.parametrize(
