--- a/ingress/process_group/agreement.py
+++ b/ingress/process_group/agreement.py
@@ -31,10 +31,11 @@
 
 log = logging.getLogger(__name__)
 
-# The admin server has to answer within 1 s, so TURN_WITHIN + READY_WITHIN and SETTLED_WITHIN are each less than that.
-READY_WITHIN = 0.3  # timeout in seconds for a successor's reply to a prepare message
-TURN_WITHIN = 0.3  # timeout in seconds for earlier changes to finish
-SETTLED_WITHIN = 0.8  # timeout in seconds for the coordinator's reply to a proposal
+# The admin server has to answer within 1 s, so LOCK_TIMEOUT_S + PREPARE_TIMEOUT_S is less than that, and so is
+# PROPOSAL_TIMEOUT_S.
+PREPARE_TIMEOUT_S = 0.3  # for a successor's reply to a prepare message
+LOCK_TIMEOUT_S = 0.3  # for earlier changes to finish
+PROPOSAL_TIMEOUT_S = 0.8  # for the coordinator's reply to a proposal
 UNDER_WAY = "another change is under way"
 NO_REPLY = "another process of this ingress does not answer"
 NO_PREVIOUS = "there is no generation before"
@@ -115,13 +116,13 @@
         if predecessor is None:
             return await self._change_as_coordinator(document, cause)
         proposal = ProposeMessage(None if document is None else dict(document), cause, self._next_id())
-        reason = await self._request(predecessor, proposal, SETTLED_WITHIN)
+        reason = await self._request(predecessor, proposal, PROPOSAL_TIMEOUT_S)
         # None: the link to the predecessor was lost, so this process may be the coordinator now.
         return await self.change(document, cause) if reason is None else reason
 
     async def _change_as_coordinator(self, document: Mapping[str, Any] | None, cause: str) -> str:
         try:
-            async with asyncio.timeout(TURN_WITHIN):
+            async with asyncio.timeout(LOCK_TIMEOUT_S):
                 await self.lock.acquire()
         except TimeoutError:
             return UNDER_WAY
@@ -155,7 +156,7 @@
         """
         replies = await asyncio.gather(
             *(
-                self._request(link, PrepareMessage(change_id, document, self._next_id()), READY_WITHIN)
+                self._request(link, PrepareMessage(change_id, document, self._next_id()), PREPARE_TIMEOUT_S)
                 for link in self.participant.successors()
             )
         )
--- a/tests/test_net_changes.py
+++ b/tests/test_net_changes.py
@@ -25,7 +25,14 @@
 from ingress.decisions.events import SettingsChanged
 from ingress.decisions.settings import Settings
 from ingress.ingress import Ingress
-from ingress.process_group.agreement import NO_REPLY, READY_WITHIN, SETTLED_WITHIN, TURN_WITHIN, UNDER_WAY, Preparation
+from ingress.process_group.agreement import (
+    LOCK_TIMEOUT_S,
+    NO_REPLY,
+    PREPARE_TIMEOUT_S,
+    PROPOSAL_TIMEOUT_S,
+    UNDER_WAY,
+    Preparation,
+)
 from ingress.process_group.agreement_messages import CommitMessage
 from ingress.runtime.metrics import RequestResult
 from ingress.upstream.counter_client import CounterClient
@@ -656,7 +663,7 @@
             async with served.changes.agreement.lock:
                 assert await said(served, b"revert") == f"fail {UNDER_WAY}"
             assert await said(served, b"revert") == "ok"
-            assert TURN_WITHIN + READY_WITHIN < 1.0 and SETTLED_WITHIN < 1.0
+            assert LOCK_TIMEOUT_S + PREPARE_TIMEOUT_S < 1.0 and PROPOSAL_TIMEOUT_S < 1.0
 
     run(body())
 
