--- a/ingress/checkpoint/reader.py
+++ b/ingress/checkpoint/reader.py
@@ -32,8 +32,8 @@
 from ingress.decisions.handover_state import EndpointState, HandoverState
 from ingress.discovery.client import EndpointList
 
-MAX_CLOCK_ERROR_S = 1.0  # the last record may appear to lie in the future by so much
-MAX_LOG_AGE_S = 5.0  # a log whose last record is older may be incomplete; a start may take so long
+MAX_CLOCK_ERROR_S = 1.0  # the last record may appear to lie in the future by up to this time
+MAX_LOG_AGE_S = 5.0  # a log whose last record is older may be incomplete; covers the time that a start may take
 MAX_HEALTH_AGE_S = 60.0  # the state of endpoints in an older checkpoint is outdated and not restored
 READ_ERRORS = (CheckpointDamagedError, ValueError, KeyError, TypeError, IndexError, AttributeError, OverflowError)
 
--- a/ingress/checkpoint/writer.py
+++ b/ingress/checkpoint/writer.py
@@ -34,11 +34,10 @@
 
 log = logging.getLogger(__name__)
 
-HEARTBEAT_INTERVAL_S = 0.5  # without usage for so long, a heartbeat is written to the log
+HEARTBEAT_INTERVAL_S = 0.5  # a heartbeat is written to the log after this time without a record
 CHUNK_CUSTOMERS = 200  # customers that are encoded before other tasks run
-MIN_PAUSE_RATIO = (
-    50  # the pause after a snapshot is at least so many times the CPU time that the process used during it
-)
+# The minimum ratio of the pause after a snapshot to the CPU time that the process used during the snapshot.
+MIN_PAUSE_RATIO = 50
 LOCK_RETRY_INTERVAL_S = 0.1
 LOCK_FLAGS = os.O_RDWR | os.O_CREAT | os.O_CLOEXEC
 LOG_FLAGS = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
--- a/ingress/process_group/membership.py
+++ b/ingress/process_group/membership.py
@@ -25,8 +25,8 @@
 from ingress.process_group.member_record import NO_CONNECTIONS, ConnectionCounts, MemberRecord, total_of
 
 HEARTBEAT_INTERVAL_S = 0.1
-SILENCE_TIMEOUT_S = 1.0  # a process without a record for so long cannot be the acceptor and gets no grants
-ACCEPT_LEASE_S = 0.5  # a process may accept for so long after its own latest heartbeat
+SILENCE_TIMEOUT_S = 1.0  # a process whose latest record is older cannot be the acceptor and gets no grants
+ACCEPT_LEASE_S = 0.5  # the time after its own latest heartbeat for which a process may accept
 SPARE_DIVISOR = 32  # in addition to what it uses, a process keeps 1/32 of the total before it grants the rest
 
 ProcessLister: TypeAlias = Callable[[], Iterable[str]]
--- a/ingress/process_group/process_group.py
+++ b/ingress/process_group/process_group.py
@@ -46,7 +46,7 @@
 
 # Time without a record from an older process, to which there is no link, before this process connects to it again.
 RECONNECT_DELAY_S = 3 * HEARTBEAT_INTERVAL_S
-MIN_CONNECTIONS = 8  # a process may have so many open before it is granted any; the spare descriptors cover them
+MIN_CONNECTIONS = 8  # the lower bound of each limit, before any grant; the spare descriptors cover it
 BUILD = "4"  # the version of the messages that this build understands
 
 
@@ -243,15 +243,16 @@
 
     # Drain
 
-    def drain_all(self, enabled: bool, at: float | None = None, sender: Link | None = None) -> None:
+    def drain_all(self, enabled: bool, requested_at: float | None = None, sender: Link | None = None) -> None:
         """Drain all processes or end the drain; of several requests the latest is in force.
 
         Args:
             enabled: True to drain, False to end the drain.
-            at: The time of the operator's request (monotonic clock, in seconds); None for now.
+            requested_at: The time of the operator's request (monotonic clock, in seconds); None for now.
             sender: The link over which the request arrived, if any; the request is not sent back over it.
         """
-        requested_at = monotonic() if at is None else at
+        if requested_at is None:
+            requested_at = monotonic()
         if requested_at <= self.last_drain_at:
             return
         self.last_drain_at = requested_at
