--- a/ingress/emulator/experiment.py
+++ b/ingress/emulator/experiment.py
@@ -16,16 +16,16 @@
 
 from ingress.errors import IngressError
 
-Share = Annotated[float, Field(ge=0, le=1)]
+Ratio = Annotated[float, Field(ge=0, le=1)]
 Positive = Annotated[float, Field(gt=0)]
-Amount = Annotated[float, Field(ge=0)]
+NonNegative = Annotated[float, Field(ge=0)]
 Count = Annotated[int, Field(ge=1, le=100_000)]
-Whole = Annotated[int, Field(ge=0, le=100_000)]
-Range = tuple[Amount, Amount]
+NonNegativeCount = Annotated[int, Field(ge=0, le=100_000)]
+Range = tuple[NonNegative, NonNegative]
 
 
-MOST_LIVE = 1024  # ingress processes on one machine; its memory may bound them first
-RANGES = (  # keys that hold a low and a high end
+MAX_LIVE_GATEWAYS = 1024  # ingress processes on one machine; its memory may bound them first
+RANGE_KEYS = (  # keys that hold a low and a high end
     "fleet.speed",
     "listing.add_s",
     "listing.gone_s",
@@ -43,13 +43,13 @@
         self.faults = faults
 
 
-class Part(BaseModel):
+class Table(BaseModel):
     """A table of the experiment file: unknown keys are faults, and nothing changes once it is read."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Fleet(Part):
+class Fleet(Table):
     """The gateways and endpoints: how many, what each can do, and what the protocol allows between them."""
 
     gateways: Annotated[int, Field(ge=1, le=2000)] = 3
@@ -57,18 +57,18 @@
     zones: Annotated[int, Field(ge=1, le=16)] = 1
     cores: Count = 2
     speed: Range = (0.85, 1.1)  # of a server, beside the nominal one
-    queue_per_core: Whole = 20
-    thrash: Amount = 0.15  # of its pace that a server loses for each request a core beyond `thrash_at`
+    queue_per_core: NonNegativeCount = 20
+    thrash: NonNegative = 0.15  # of its pace that a server loses for each request a core beyond `thrash_at`
     thrash_at: Positive = 5.0  # requests that it holds for each core
     connections_per_core: Count = 600
-    handshake_ms: Amount = 1.0  # of a server's work
-    handshake_rtts: Amount = 2.0
+    handshake_ms: NonNegative = 1.0  # of a server's work
+    handshake_rtts: NonNegative = 2.0
     idle_s: Positive = 15.0
     connect_timeout_ms: Positive = 250.0
-    cold_s: Amount = 8.0
+    cold_s: NonNegative = 8.0
     cold_share: Annotated[float, Field(gt=0, le=1)] = 0.3
     cancel: Literal["none", "queued"] = "queued"  # what becomes of work that nobody waits for
-    error_rate: Share = 0.001
+    error_rate: Ratio = 0.001
     max_attempts: Count = 3
     second_copies: bool = True
     probes: bool = True
@@ -76,27 +76,27 @@
     checkpoint: bool = False  # on real sockets: ingresses keep one, which outlives a kill
 
 
-class Network(Part):
+class Network(Table):
     """Delays between zones and to clients, in ms; `jitter` is the mean excess as a share."""
 
-    same_ms: Amount = 0.2
-    cross_ms: Amount = 1.0
-    client_ms: Amount = 0.7
-    jitter: Amount = 0.2
-    loss: Share = 0.0  # of the answers
-    reset: Share = 0.0  # of the attempts
+    same_ms: NonNegative = 0.2
+    cross_ms: NonNegative = 1.0
+    client_ms: NonNegative = 0.7
+    jitter: NonNegative = 0.2
+    loss: Ratio = 0.0  # of the answers
+    reset: Ratio = 0.0  # of the attempts
 
 
-class EndpointList(Part):
+class DiscoveryDelays(Table):
     """How late discovery tells."""
 
     add_s: Range = (0.5, 2.0)
     gone_s: Range = (0.8, 3.0)
     silent_s: Range = (5.4, 9.0)  # of a server that vanished without a word
-    spread_ms: Amount = 200.0  # between gateways
+    spread_ms: NonNegative = 200.0  # between gateways
 
 
-class RequestKind(Part):
+class RequestKind(Table):
     """A class of requests, as `decisions.settings.RequestClass`, with its share of the load and its work."""
 
     name: str = Field(min_length=1)
@@ -105,158 +105,158 @@
     deadline_s: Positive = 2.5
     semantics: Literal["safe", "keyed", "unsafe"] = "safe"
     scope: Literal["all", "zone", "cell"] = "all"
-    window_s: Amount = 0.0
-    worth: Amount = 1.0
-    late_worth: Amount = 0.2
+    window_s: NonNegative = 0.0
+    worth: NonNegative = 1.0
+    late_worth: NonNegative = 0.2
     work: Positive = 1.0  # beside `load.work_ms`
 
 
-class PlanKind(Part):
+class PlanKind(Table):
     """A plan of customers, as `decisions.settings.Plan`, with its share of the load."""
 
     name: str = Field(min_length=1)
     share: Positive = 1.0  # of the load
-    rate: Amount = 4.0
-    burst: Amount = 10.0
-    at_once: Whole = 0
-    price: Amount = 1.0
-    over_cost: Amount = 0.5
-    ceiling_rate: Amount = 0.0
-    ceiling_burst: Amount = 0.0
-    ceiling_slack: Amount = 0.0
+    rate: NonNegative = 4.0
+    burst: NonNegative = 10.0
+    at_once: NonNegativeCount = 0
+    price: NonNegative = 1.0
+    over_cost: NonNegative = 0.5
+    ceiling_rate: NonNegative = 0.0
+    ceiling_burst: NonNegative = 0.0
+    ceiling_slack: NonNegative = 0.0
 
 
-class Load(Part):
+class Load(Table):
     """What clients ask: how much, how evenly, and how they retry."""
 
-    rate: Amount = 0.0  # first tries inside the quotas, a second; 0: by `use`
+    rate: NonNegative = 0.0  # first tries inside the quotas, a second; 0: by `use`
     use: Positive = 0.6  # asked inside the quotas, beside what all servers can do
     work_ms: Positive = 75.0
-    cv: Amount = 1.0
+    cv: NonNegative = 1.0
     spread: Annotated[float, Field(gt=0, le=1)] = 0.6  # of the gateways: each customer's set
     calm_use: Range = (0.15, 0.5)  # of its rate, by most customers
-    heavy: Share = 0.1  # of the customers ask `heavy_x` times their rate
+    heavy: Ratio = 0.1  # of the customers ask `heavy_x` times their rate
     heavy_x: Positive = 2.5
-    uneven: Amount = 0.8  # how unevenly a customer uses its set: deviation over mean
-    retries: Whole = 2
-    backoff_ms: Amount = 100.0
-    honour: Share = 0.6  # of the clients wait as they are told
-    impatient: Share = 0.0  # of the clients go before their time is up
+    uneven: NonNegative = 0.8  # how unevenly a customer uses its set: deviation over mean
+    retries: NonNegativeCount = 2
+    backoff_ms: NonNegative = 100.0
+    honour: Ratio = 0.6  # of the clients wait as they are told
+    impatient: Ratio = 0.0  # of the clients go before their time is up
     notice_s: Range = (2.3, 3.9)  # until the front sees that a gateway died
 
 
-class Rules(Part):
+class RuleLimits(Table):
     """The slack and the limits by which the rules are checked."""
 
-    answer_slack_s: Amount = 0.05
-    drain_grace_s: Amount = 2.0
+    answer_slack_s: NonNegative = 0.05
+    drain_grace_s: NonNegative = 2.0
     fall_factor: Positive = 4.0
     fall_s: Positive = 2.0
 
 
-class Timed(Part):
+class TimedFault(Table):
     """What all faults have: when each begins and how long it lasts (s)."""
 
-    at: Amount
-    lasts: Amount = 0.0
+    at: NonNegative
+    lasts: NonNegative = 0.0
 
 
-class KillGateways(Timed):
+class KillGateways(TimedFault):
     """SIGKILL; they start again from nothing after `lasts`."""
 
     kind: Literal["kill-gateways"]
-    share: Share = 0.5
+    share: Ratio = 0.5
 
 
-class PauseGateways(Timed):
+class PauseGateways(TimedFault):
     """SIGSTOP for `lasts`, then SIGCONT."""
 
     kind: Literal["pause-gateways"]
-    share: Share = 0.1
+    share: Ratio = 0.1
 
 
-class RollGateways(Timed):
+class RollGateways(TimedFault):
     """SIGTERM and a new start, in steps."""
 
     kind: Literal["roll-gateways"]
     steps: Count = 10
 
 
-class RollServers(Timed):
+class RollServers(TimedFault):
     """Servers drain, go, and others take their place, cold."""
 
     kind: Literal["roll-servers"]
-    share: Share = 0.5
+    share: Ratio = 0.5
     steps: Count = 5
-    warning_s: Amount = 3.0  # from draining to gone
+    warning_s: NonNegative = 3.0  # from draining to gone
 
 
-class LoseZone(Timed):
+class LoseZone(TimedFault):
     """All servers of a zone (without zones, a share of all) vanish without a word, and return cold."""
 
     kind: Literal["lose-zone"]
-    zone: Whole = 0
-    share: Share = 0.3
+    zone: NonNegativeCount = 0
+    share: Ratio = 0.3
 
 
-class CutZone(Timed):
+class CutZone(TimedFault):
     """Nothing passes between a zone and the others."""
 
     kind: Literal["cut-zone"]
-    zone: Whole = 0
+    zone: NonNegativeCount = 0
 
 
-class CrashServers(Timed):
+class CrashServers(TimedFault):
     """The processes die; their machines refuse connections until they start again, cold."""
 
     kind: Literal["crash-servers"]
-    share: Share = 0.2
+    share: Ratio = 0.2
 
 
-class SpoilServers(Timed):
+class SpoilServers(TimedFault):
     """Servers that run and do their work badly."""
 
     kind: Literal["spoil-servers"]
-    share: Share = 0.125
+    share: Ratio = 0.125
     mode: Literal["slow", "errors", "silent", "spoilt", "refuse"] = "errors"
-    rate: Share = 1.0  # of their requests
+    rate: Ratio = 1.0  # of their requests
     factor: Positive = 8.0  # of `slow`
 
 
-class Reload(Timed):
+class Reload(TimedFault):
     """SIGHUP: every plan's rate and burst times `factor`."""
 
     kind: Literal["reload"]
     factor: Positive = 0.8
 
 
-class ForgetServers(Timed):
+class ForgetServers(TimedFault):
     """The list drops servers that run in one version, and has them back in another."""
 
     kind: Literal["forget-servers"]
-    share: Share = 0.6
+    share: Ratio = 0.6
 
 
-class DiscoveryDown(Timed):
+class DiscoveryDown(TimedFault):
     """Discovery answers nothing."""
 
     kind: Literal["discovery-down"]
 
 
-class Burst(Timed):
+class Burst(TimedFault):
     """All ask `factor` times as much; with `customers`, these alone."""
 
     kind: Literal["burst"]
     factor: Positive = 1.5
-    customers: Whole = 0
+    customers: NonNegativeCount = 0
 
 
-class Lossy(Timed):
+class Lossy(TimedFault):
     """Answers get lost and connections are reset, by these shares."""
 
     kind: Literal["lossy"]
-    loss: Share = 0.02
-    reset: Share = 0.02
+    loss: Ratio = 0.02
+    reset: Ratio = 0.02
 
 
 Fault = Annotated[
@@ -277,7 +277,7 @@
 ]
 
 
-class Version(Part):
+class Version(Table):
     """A build that is played: that of a git revision, or the work tree without one.
 
     `sees`: its gateways shed load by the true state of all endpoints, which no real one can know, to show what a better
@@ -289,7 +289,7 @@
     sees: bool = False
 
 
-class Experiment(Part):
+class Experiment(Table):
     """A whole experiment file."""
 
     name: str = Field(min_length=1)
@@ -299,9 +299,9 @@
     sockets: bool = False  # real processes on real sockets in place of simulated time
     fleet: Fleet = Fleet()
     network: Network = Network()
-    listing: EndpointList = EndpointList()
+    listing: DiscoveryDelays = DiscoveryDelays()
     load: Load = Load()
-    rules: Rules = Rules()
+    rules: RuleLimits = RuleLimits()
     classes: list[RequestKind] = Field([RequestKind(name="read")], min_length=1)
     plans: list[PlanKind] = Field([PlanKind(name="basic")], min_length=1)
     faults: list[Fault] = []
@@ -348,15 +348,15 @@
                 yield f"faults.{number}.zone: {fault.zone}, but the fleet has {self.fleet.zones} zones"
 
     def _faults_of_ranges(self) -> Iterator[str]:
-        for key in RANGES:
+        for key in RANGE_KEYS:
             part, name = key.split(".")
             low, high = getattr(getattr(self, part), name)
             if low > high:
                 yield f"{key}: {low:g} is more than {high:g}"
 
     def _faults_of_sockets(self) -> Iterator[str]:
-        if self.sockets and self.fleet.gateways > MOST_LIVE:
-            yield f"fleet.gateways: {self.fleet.gateways} real processes, {MOST_LIVE} at most"
+        if self.sockets and self.fleet.gateways > MAX_LIVE_GATEWAYS:
+            yield f"fleet.gateways: {self.fleet.gateways} real processes, {MAX_LIVE_GATEWAYS} at most"
         if self.sockets and any(isinstance(fault, CutZone) for fault in self.faults):
             yield "faults: cut-zone can't be played on real sockets, where all share one loopback"
         if self.sockets and any(version.sees for version in self.versions):
@@ -376,10 +376,10 @@
         source = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
         raise ExperimentError([f"not TOML: {error}"]) from None
-    return build(source)
+    return build_experiment(source)
 
 
-def build(source: dict[str, Any]) -> Experiment:
+def build_experiment(source: dict[str, Any]) -> Experiment:
     """Reads an experiment from plain data; ExperimentError with every fault of it."""
     try:
         return Experiment.model_validate(source)
--- a/ingress/emulator/faults.py
+++ b/ingress/emulator/faults.py
@@ -11,25 +11,25 @@
 if TYPE_CHECKING:
     from ingress.emulator.testbed import Testbed
 
-DOWN = 0.3  # s from the end of a rolled gateway to its next start
-KILL_AFTER = 3.7  # s from SIGTERM to SIGKILL: the longest deadline that counts, and 0.7 s
+RESTART_DELAY_S = 0.3  # s from the end of a rolled gateway to its next start
+DRAIN_TIMEOUT_S = 3.7  # s from SIGTERM to SIGKILL: the longest deadline that counts, and 0.7 s
 
 
 @singledispatch
-def schedule(fault: spec.Timed, _testbed: Testbed) -> None:
+def schedule(fault: spec.TimedFault, _testbed: Testbed) -> None:
     """Puts a fault on the clock of the testbed.  All its draws are made now: they hang on no decision."""
     raise TypeError(f"no such fault: {fault!r}")
 
 
 def _gateways(testbed: Testbed, share: float) -> list[int]:
     count = testbed.experiment.fleet.gateways
-    return testbed.draws["faults"].sample(count, max(1, round(share * count)) if share else 0)
+    return testbed.random["faults"].sample(count, max(1, round(share * count)) if share else 0)
 
 
 def _servers(testbed: Testbed, share: float) -> list[ServerModel]:
     every = list(testbed.servers.values())[: testbed.experiment.fleet.servers]
     return [
-        every[n] for n in testbed.draws["faults"].sample(len(every), max(1, round(share * len(every))) if share else 0)
+        every[n] for n in testbed.random["faults"].sample(len(every), max(1, round(share * len(every))) if share else 0)
     ]
 
 
@@ -53,9 +53,9 @@
     for number in range(count):
         step = number * fault.steps // count
         at = fault.at + fault.lasts * step / fault.steps
-        testbed.kernel.at(at, testbed.end_gateway, number)
-        testbed.kernel.at(at + KILL_AFTER, testbed.kill_gateway, number, True)
-        testbed.kernel.at(at + KILL_AFTER + DOWN, testbed.start_gateway, number)
+        testbed.kernel.at(at, testbed.terminate_gateway, number)
+        testbed.kernel.at(at + DRAIN_TIMEOUT_S, testbed.kill_gateway, number, True)
+        testbed.kernel.at(at + DRAIN_TIMEOUT_S + RESTART_DELAY_S, testbed.start_gateway, number)
 
 
 @schedule.register(spec.RollServers)
@@ -105,7 +105,7 @@
 
 @schedule.register(spec.Reload)
 def _(fault: spec.Reload, testbed: Testbed) -> None:
-    testbed.kernel.at(fault.at, testbed.reload, fault.factor)
+    testbed.kernel.at(fault.at, testbed.scale_plans, fault.factor)
 
 
 @schedule.register(spec.ForgetServers)
@@ -126,7 +126,7 @@
 
 @schedule.register(spec.Burst)
 def _(fault: spec.Burst, testbed: Testbed) -> None:
-    testbed.push_load(fault.at, fault.at + fault.lasts, fault.factor, fault.customers)
+    testbed.add_load_burst(fault.at, fault.at + fault.lasts, fault.factor, fault.customers)
 
 
 @schedule.register(spec.Lossy)
--- a/ingress/emulator/kernel.py
+++ b/ingress/emulator/kernel.py
@@ -67,10 +67,10 @@
         return len(self._heap)
 
 
-class Draws:
+class RandomStream:
     """One stream of random numbers, drawn in blocks."""
 
-    BLOCK = 2048  # numbers drawn at once
+    BLOCK_SIZE = 2048  # numbers drawn at once
 
     def __init__(self, seed: np.random.SeedSequence) -> None:
         self._rng = np.random.Generator(np.random.PCG64(seed))
@@ -80,7 +80,7 @@
 
     def _blocks(self, draw: Callable[[int], Any]) -> Iterator[float]:
         while True:
-            yield from draw(self.BLOCK).tolist()
+            yield from draw(self.BLOCK_SIZE).tolist()
 
     def uniform(self, low: float = 0.0, high: float = 1.0) -> float:
         """A number evenly between two."""
@@ -95,7 +95,7 @@
         sigma = np.log1p(cv * cv) ** 0.5
         return float(mean * np.exp(sigma * next(self._normals) - sigma * sigma / 2))
 
-    def below(self, count: int) -> int:
+    def integer_below(self, count: int) -> int:
         """A whole number from 0 to below `count`."""
         return int(next(self._uniforms) * count)
 
@@ -108,8 +108,9 @@
         return sorted(int(n) for n in self._rng.permutation(count)[:most])
 
 
-def streams(seed: int, names: tuple[str, ...]) -> dict[str, Draws]:
+def random_streams(seed: int, names: tuple[str, ...]) -> dict[str, RandomStream]:
     """One stream for each name; a further name at the end changes none of those before it."""
     return {
-        name: Draws(child) for name, child in zip(names, np.random.SeedSequence(seed).spawn(len(names)), strict=True)
+        name: RandomStream(child)
+        for name, child in zip(names, np.random.SeedSequence(seed).spawn(len(names)), strict=True)
     }
--- a/ingress/emulator/listing.py
+++ b/ingress/emulator/listing.py
@@ -7,10 +7,10 @@
 
 from ingress.decisions.endpoint import Endpoint, Readiness
 from ingress.decisions.events import EndpointListKind, EndpointsChanged
-from ingress.emulator.experiment import EndpointList
-from ingress.emulator.kernel import Clock, Draws
+from ingress.emulator.experiment import DiscoveryDelays
+from ingress.emulator.kernel import Clock, RandomStream
 
-VERSION_PERIOD = 0.2  # s within which changes make one version
+VERSION_INTERVAL_S = 0.2  # s within which changes make one version
 
 
 class Listener(Protocol):
@@ -30,10 +30,10 @@
         listeners: all gateways, by number.
     """
 
-    def __init__(self, kernel: Clock, spec: EndpointList, draws: Draws, entries: Iterable[Endpoint]) -> None:
+    def __init__(self, kernel: Clock, spec: DiscoveryDelays, draws: RandomStream, entries: Iterable[Endpoint]) -> None:
         self.kernel = kernel
         self.spec = spec
-        self.draws = draws
+        self.random = draws
         self.entries = {entry.id: entry for entry in entries}
         self.version = 1
         self.down_until = 0.0
@@ -43,7 +43,7 @@
 
     def schedule_update(self, delay: tuple[float, float], entry: Endpoint, is_valid: Callable[[], bool]) -> None:
         """Publishes an entry after a delay from a range (s), if it is valid by then."""
-        self.kernel.after(self.draws.uniform(*delay), self._publish, entry, is_valid)
+        self.kernel.after(self.random.uniform(*delay), self._publish, entry, is_valid)
 
     def _publish(self, entry: Endpoint, is_valid: Callable[[], bool]) -> None:
         if self.kernel.now < self.down_until:
@@ -52,7 +52,7 @@
         if not is_valid():
             return
         if not self._pending_entries:
-            self.kernel.after(VERSION_PERIOD, self._flush)
+            self.kernel.after(VERSION_INTERVAL_S, self._flush)
         self._pending_entries[entry.id] = entry
 
     def _flush(self) -> None:
@@ -78,7 +78,7 @@
 
     def _deliver(self, number: int, listener: Listener, event: EndpointsChanged) -> None:
         when = max(
-            self._last_delivery.get(number, 0.0), self.kernel.now + self.draws.uniform(0.0, self.spec.spread_ms / 1000)
+            self._last_delivery.get(number, 0.0), self.kernel.now + self.random.uniform(0.0, self.spec.spread_ms / 1000)
         )
         self._last_delivery[number] = when
         self.kernel.at(when, listener.endpoints_changed, event)
--- a/ingress/emulator/live/clients.py
+++ b/ingress/emulator/live/clients.py
@@ -10,7 +10,7 @@
 import hiredis
 
 from ingress.decisions.events import RequestReceived
-from ingress.emulator.gateways import Front, Held
+from ingress.emulator.gateways import LoadBalancer, PendingRequest
 from ingress.emulator.kernel import Clock
 
 NOTHING = object()
@@ -21,16 +21,16 @@
 class Checks:
     """What the clients tell of an answer that breaks a rule; replaced by who plays."""
 
-    def served(self, held: Held, value: bytes) -> None:
+    def served(self, held: PendingRequest, value: bytes) -> None:
         """A value has come for the request."""
 
-    def refused(self, held: Held) -> None:
+    def refused(self, held: PendingRequest) -> None:
         """The request was rejected."""
 
-    def failed(self, held: Held) -> None:
+    def failed(self, held: PendingRequest) -> None:
         """The request failed."""
 
-    def dropped(self, held: Held) -> None:
+    def dropped(self, held: PendingRequest) -> None:
         """The connection of the request ended without an answer."""
 
     def odd(self, text: str) -> None:
@@ -58,7 +58,7 @@
     def __init__(self, caller: Caller) -> None:
         self.caller, self.reader = caller, hiredis.Reader(notEnoughData=NOTHING)
         self.transport: asyncio.Transport | None = None
-        self.held: Held | None = None
+        self.held: PendingRequest | None = None
         self.event: RequestReceived | None = None
         self.answers = 0
 
@@ -67,7 +67,7 @@
         self.transport = cast(asyncio.Transport, transport)
         self.caller.connections.add(self)
 
-    def ask(self, held: Held, event: RequestReceived) -> None:
+    def ask(self, held: PendingRequest, event: RequestReceived) -> None:
         """Sends a request, in the form of the protocol."""
         assert self.transport is not None
         self.held = held
@@ -128,28 +128,28 @@
         self.address = address
         self.checks = checks
         self.tls = tls
-        self.front: Front
-        self.life = 0
+        self.load_balancer: LoadBalancer
+        self.incarnation = 0
         self.up = False
         self.connections: set[Connection] = set()
         self.idle: list[Connection] = []
-        self.held: dict[str, Held] = {}
+        self.pending: dict[str, PendingRequest] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.taken: Callable[[Held], None] = lambda _: None  # is called with each request that goes out
+        self.taken: Callable[[PendingRequest], None] = lambda _: None  # is called with each request that goes out
 
-    def take(self, held: Held, event: RequestReceived) -> None:
+    def submit(self, held: PendingRequest, event: RequestReceived) -> None:
         """Sends a request on an idle connection, or on a new one."""
-        if held.left:
+        if held.is_disconnected:
             return
-        if len(self.held) >= MOST_WAITING:
+        if len(self.pending) >= MOST_WAITING:
             self.checks.odd(f"gateway {self.number}: more than {MOST_WAITING} requests wait")
-            self.front.cut_off(held)
+            self.load_balancer.connection_lost(held)
             return
-        self.held[event.request_id] = held
+        self.pending[event.request_id] = held
         self.taken(held)
         self._ask(held, event)
 
-    def _ask(self, held: Held, event: RequestReceived) -> None:
+    def _ask(self, held: PendingRequest, event: RequestReceived) -> None:
         while self.idle:
             connection = self.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
@@ -157,12 +157,12 @@
                 return
         self._reconnect(held, event)
 
-    def _reconnect(self, held: Held, event: RequestReceived) -> None:
+    def _reconnect(self, held: PendingRequest, event: RequestReceived) -> None:
         task = asyncio.get_running_loop().create_task(self._open(held, event))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _open(self, held: Held, event: RequestReceived) -> None:
+    async def _open(self, held: PendingRequest, event: RequestReceived) -> None:
         try:
             _, connection = await asyncio.get_running_loop().create_connection(
                 lambda: Connection(self), *self.address, ssl=self.tls, server_hostname=TLS_NAME if self.tls else None
@@ -170,26 +170,26 @@
         except OSError:
             self._cut(held)
             return
-        if held.left:
+        if held.is_disconnected:
             self.idle.append(connection)
         else:
             connection.ask(held, event)
 
-    def _cut(self, held: Held) -> None:
-        self.held.pop(held.record.id, None)
-        if not held.answered and not held.left:
+    def _cut(self, held: PendingRequest) -> None:
+        self.pending.pop(held.record.id, None)
+        if not held.answered and not held.is_disconnected:
             held.answered = True
-            held.record.excused = True
-            self.front.cut_off(held)
+            held.record.is_exempt = True
+            self.load_balancer.connection_lost(held)
 
-    def lost(self, connection: Connection, held: Held) -> None:
+    def lost(self, connection: Connection, held: PendingRequest) -> None:
         """The connection ended under a request.
 
         One that was used before may have crossed a close that had nothing to do with the request: the request is sent
         once more, on a new connection.
         """
-        if held.left:
-            self.held.pop(held.record.id, None)
+        if held.is_disconnected:
+            self.pending.pop(held.record.id, None)
         elif connection.answers and connection.event is not None and self.up:
             self._reconnect(held, connection.event)
         else:
@@ -197,29 +197,29 @@
                 self.checks.dropped(held)
             self._cut(held)
 
-    def ended(self, held: Held, answer: object) -> None:
+    def ended(self, held: PendingRequest, answer: object) -> None:
         """A request has its answer, or will get none."""
-        self.held.pop(held.record.id, None)
-        if held.answered or held.left:
+        self.pending.pop(held.record.id, None)
+        if held.answered or held.is_disconnected:
             return
         held.answered = True
         if isinstance(answer, list) and answer and isinstance(answer[0], bytes):
             answer = answer[0]
         if isinstance(answer, bytes):
             self.checks.served(held, answer)
-            self.front.answered(held)
+            self.load_balancer.request_served(held)
         elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
             self.checks.refused(held)
             wait = str(answer).partition(" ")[2]
-            self.front.refused(held, int(wait) / 1000 if wait.isdecimal() else 0.0, "busy")
+            self.load_balancer.request_rejected(held, int(wait) / 1000 if wait.isdecimal() else 0.0, "busy")
         else:
             self.checks.failed(held)
-            self.front.failed(held, "error")
+            self.load_balancer.request_failed(held, "error")
 
-    def leave(self, held: Held) -> None:
+    def client_disconnected(self, held: PendingRequest) -> None:
         """The client goes: it closes its connection."""
-        held.left = True
-        self.held.pop(held.record.id, None)
+        held.is_disconnected = True
+        self.pending.pop(held.record.id, None)
         for connection in list(self.connections):
             if connection.held is held:
                 connection.end()
--- a/ingress/emulator/live/load.py
+++ b/ingress/emulator/live/load.py
@@ -13,16 +13,16 @@
 
 from ingress.configuration.document import ConfigError, load_config
 from ingress.decisions.settings import Settings
-from ingress.emulator.clients import Population, mean_work
-from ingress.emulator.experiment import Experiment, ExperimentError, build
-from ingress.emulator.gateways import Held
-from ingress.emulator.kernel import streams
+from ingress.emulator.clients import ClientPopulation, mean_work
+from ingress.emulator.experiment import Experiment, ExperimentError, build_experiment
+from ingress.emulator.gateways import PendingRequest
+from ingress.emulator.kernel import random_streams
 from ingress.emulator.live.clients import Caller, Checks
 from ingress.emulator.live.kernel import RealKernel
 from ingress.emulator.measure import Recorder
 from ingress.emulator.network import NetworkModel
-from ingress.emulator.rules import Rules
-from ingress.emulator.testbed import result_of
+from ingress.emulator.rules import RuleChecker
+from ingress.emulator.testbed import build_result
 from ingress.errors import IngressError
 
 
@@ -36,7 +36,7 @@
 
 def experiment_of(settings: Settings, rate: float, seconds: float, retries: int) -> Experiment:
     """Customers of the settings' plans, each well inside its quota, who ask `rate` first tries a second."""
-    return build(
+    return build_experiment(
         {
             "name": "load",
             "seconds": seconds,
@@ -77,10 +77,10 @@
 
     def __init__(self, experiment: Experiment, seed: int, address: tuple[str, int]) -> None:
         self.experiment, self.seed, self.kernel = experiment, seed, RealKernel()
-        draws = streams(seed, ("arrivals", "front", "network"))
-        self.record, self.rules = Recorder(), Rules(experiment, mean_work(experiment))
+        draws = random_streams(seed, ("arrivals", "front", "network"))
+        self.record, self.rules = Recorder(), RuleChecker(experiment, mean_work(experiment))
         self.caller = Caller(self.kernel, 0, address, self)
-        self.clients = Population(
+        self.clients = ClientPopulation(
             self.kernel,
             experiment,
             NetworkModel(experiment.network, draws["network"]),
@@ -89,32 +89,32 @@
             draws["arrivals"],
             draws["front"],
         )
-        self.caller.front = self.clients
+        self.caller.load_balancer = self.clients
         self.caller.up = True
         self.ended_early = asyncio.Event()
 
     async def play(self) -> dict[str, Any]:
         """Sends the load and waits for the last answers; the result as plain data."""
         began = time.process_time()
-        self.clients.begin()
+        self.clients.start()
         last = self.experiment.seconds + max(c.deadline_s for c in self.experiment.classes)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(last):
                 await self.ended_early.wait()
         self.kernel.stop()
         self.caller.close()
-        found = result_of(self.kernel, self.seed, self.record, self.rules, time.process_time() - began)
+        found = build_result(self.kernel, self.seed, self.record, self.rules, time.process_time() - began)
         found["exact"]["whole"] = not self.ended_early.is_set()
         found["late_ms"] = self.kernel.late.percentiles()
         return found
 
-    def dropped(self, _held: Held) -> None:
+    def dropped(self, _held: PendingRequest) -> None:
         """Counts a connection that ended without an answer."""
         self.record.count(self.kernel.now, "connections that ended without an answer")
 
     def odd(self, text: str) -> None:
         """Counts a violation of the protocol."""
-        self.rules.broken("protocol", self.kernel.now, text)
+        self.rules.report_violation("protocol", self.kernel.now, text)
 
 
 def send_load(path: Path, rate: float, seconds: float, seed: int, retries: int) -> dict[str, Any]:
--- a/ingress/emulator/live/play.py
+++ b/ingress/emulator/live/play.py
@@ -18,9 +18,9 @@
 from ingress.decisions.endpoint import Endpoint, Outcome, Readiness
 from ingress.decisions.events import EndpointsChanged
 from ingress.emulator import faults
-from ingress.emulator.clients import Population
+from ingress.emulator.clients import ClientPopulation
 from ingress.emulator.experiment import Experiment, PlanKind
-from ingress.emulator.gateways import Held
+from ingress.emulator.gateways import PendingRequest
 from ingress.emulator.live.agent import Agent
 from ingress.emulator.live.clients import TLS_NAME, Caller, Checks
 from ingress.emulator.live.counter import Counter
@@ -29,7 +29,7 @@
 from ingress.emulator.live.loopback import loopback
 from ingress.emulator.live.servers import StandIn, value_of
 from ingress.emulator.servers import ServerModel
-from ingress.emulator.testbed import FRONT_TURNS, LOOKS, Testbed, settings_of
+from ingress.emulator.testbed import LOAD_BALANCER_REACTION_S, SAMPLE_INTERVAL_S, Testbed, gateway_settings
 
 SLACK = 0.05  # s beside the rules' own on real sockets
 LATE = 0.02  # s: when this process was so late itself, nobody is blamed for an answer out of time
@@ -111,11 +111,11 @@
         for server in list(self.servers.values()):
             self._stand_in(server)
         self.counter = Counter()
-        self.asks: dict[str, Held] = {}
+        self.asks: dict[str, PendingRequest] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.crashed: list[str] = []
         self.gateways: list[LiveGateway] = []
-        self.clients: Population
+        self.clients: ClientPopulation
         self.ended_early = asyncio.Event()
 
     def _new_server(self) -> ServerModel:
@@ -150,25 +150,25 @@
                 await stand_in.open(self.secure.server if self.secure else None)
             await self.counter.open()
             await asyncio.gather(*(self._gateway(n) for n in range(self.experiment.fleet.gateways)))
-            self.clients = Population(
+            self.clients = ClientPopulation(
                 self.kernel,
                 self.experiment,
                 self.network,
-                self.record,
+                self.recorder,
                 self.gateways,
-                self.draws["arrivals"],
-                self.draws["front"],
+                self.random["arrivals"],
+                self.random["front"],
             )
             self.kernel.began = asyncio.get_running_loop().time()
             self.unix = time.time()
             for gateway in self.gateways:
-                gateway.front = self.clients
+                gateway.load_balancer = self.clients
                 gateway.up = True
             for fault in self.experiment.faults:
                 faults.schedule(fault, self)
-            self.clients.begin()
-            self.kernel.at(LOOKS, self._look)
-            last = self.experiment.seconds + max(c.deadline_s for c in self.experiment.classes) + LOOKS
+            self.clients.start()
+            self.kernel.at(SAMPLE_INTERVAL_S, self._look)
+            last = self.experiment.seconds + max(c.deadline_s for c in self.experiment.classes) + SAMPLE_INTERVAL_S
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(last):
                     await self.ended_early.wait()
@@ -198,7 +198,7 @@
     def _write(self, gateway: LiveGateway) -> None:
         fleet = self.experiment.fleet
         settings = wire_settings(
-            settings_of(self.experiment, gateway.number, self.plans), fleet.connect_timeout_ms / 1000, fleet.idle_s
+            gateway_settings(self.experiment, gateway.number, self.plans), fleet.connect_timeout_ms / 1000, fleet.idle_s
         )
         more: dict[str, Any] = dict(self.secure.keys) if self.secure is not None else {}
         if fleet.checkpoint:
@@ -223,7 +223,7 @@
         assert child is not None
         status = await child.wait()
         if not gateway.process.expected:
-            self.rules.broken(
+            self.rules.report_violation(
                 "crash",
                 self.kernel.now,
                 f"{gateway.process.name} ended with status {status}: {gateway.process.last_words()}",
@@ -246,15 +246,17 @@
         for gateway in self.gateways:
             status = await gateway.process.ended(END) if gateway.up else 0
             if status != 0:
-                self.rules.broken("ends", self.kernel.now, f"{gateway.process.name}: status {status} after SIGTERM")
+                self.rules.report_violation(
+                    "ends", self.kernel.now, f"{gateway.process.name}: status {status} after SIGTERM"
+                )
         if self.counter.calls:
-            self.rules.broken("no talk", self.kernel.now, f"{self.counter.calls} calls to the counter")
+            self.rules.report_violation("no talk", self.kernel.now, f"{self.counter.calls} calls to the counter")
         if self.crashed:
             raise NotReadyError("; ".join(self.crashed))
         found = self.result(cpu)
         found["exact"]["whole"] = whole
         found["ingress"] = {
-            "cpu_ms_a_try": round(1000 * spent / max(1, self.record.totals["tries"]), 4),
+            "cpu_ms_a_try": round(1000 * spent / max(1, self.recorder.totals["tries"]), 4),
             "memory_mb": round(memory / (1 << 20), 1),
             "figures": figures,
         }
@@ -278,11 +280,11 @@
 
     def _look(self) -> None:
         if self.kernel.now < self.experiment.seconds:
-            self.kernel.after(LOOKS, self._look)
-        second = self.kernel.now - LOOKS / 2
-        self.look_at_servers(second)
+            self.kernel.after(SAMPLE_INTERVAL_S, self._look)
+        second = self.kernel.now - SAMPLE_INTERVAL_S / 2
+        self.sample_servers(second)
         up = [gateway for gateway in self.gateways if gateway.up and not gateway.paused]
-        self.record.set_gauge(second, "gateways", len(up))
+        self.recorder.set_gauge(second, "gateways", len(up))
         self._later(self._ask_figures(second, up))
 
     async def _ask_figures(self, second: float, up: list[LiveGateway]) -> None:
@@ -297,7 +299,7 @@
         ]
         for state in STATES:
             if found:
-                self.record.set_gauge(
+                self.recorder.set_gauge(
                     second,
                     f"health.{state}",
                     sum(figures.get(f"app.health.{state}", 0.0) for _, figures in found) / len(found),
@@ -307,7 +309,7 @@
                 if name.startswith(TURNED_DOWN):
                     more = count - gateway.turned_down.get(name, 0.0)
                     # A process that was started anew counts from nothing.
-                    self.record.count(second, name.removeprefix("app."), more if more >= 0 else count)
+                    self.recorder.count(second, name.removeprefix("app."), more if more >= 0 else count)
             gateway.turned_down = {name: count for name, count in figures.items() if name.startswith(TURNED_DOWN)}
 
     # Faults
@@ -321,22 +323,22 @@
         super().vanish_server(server)
         self.stand_ins[server.id].vanish()
 
-    def kill_gateway(self, number: int, ended: bool = False) -> None:
+    def kill_gateway(self, number: int, drained: bool = False) -> None:
         """Sends SIGKILL to the process."""
         gateway = self.gateways[number]
-        if not gateway.up and not (ended and gateway.process.running()):
+        if not gateway.up and not (drained and gateway.process.running()):
             return
         gateway.up = False
-        gateway.life += 1
+        gateway.incarnation += 1
         gateway.process.send(signal.SIGKILL)
-        self.record.count(self.kernel.now, "gateways ended" if ended else "gateways killed")
-        if not ended:
+        self.recorder.count(self.kernel.now, "gateways ended" if drained else "gateways killed")
+        if not drained:
             self.clients.gateway_down(number)
 
-    def end_gateway(self, number: int) -> None:
+    def terminate_gateway(self, number: int) -> None:
         """Sends SIGTERM; the load balancer turns away after a while."""
         self.gateways[number].process.send(signal.SIGTERM)
-        self.kernel.after(FRONT_TURNS, self.clients.turned, number, False)
+        self.kernel.after(LOAD_BALANCER_REACTION_S, self.clients.set_admitted, number, False)
 
     def start_gateway(self, number: int) -> None:
         """Starts the process anew."""
@@ -348,26 +350,26 @@
         await gateway.process.ended(END)
         self._write(gateway)
         await gateway.process.start()
-        gateway.life += 1
+        gateway.incarnation += 1
         gateway.up = True
         self.clients.gateway_up(gateway.number)
         self._later(self._watch(gateway))
 
-    def pause_gateway(self, number: int, on: bool) -> None:
+    def pause_gateway(self, number: int, paused: bool) -> None:
         """Sends SIGSTOP or SIGCONT; what it holds meanwhile is excused from its time."""
         gateway = self.gateways[number]
-        for held in gateway.held.values():
-            held.record.excused = True
-        gateway.paused = on
-        gateway.process.send(signal.SIGSTOP if on else signal.SIGCONT)
+        for held in gateway.pending.values():
+            held.record.is_exempt = True
+        gateway.paused = paused
+        gateway.process.send(signal.SIGSTOP if paused else signal.SIGCONT)
 
-    def push_load(self, start: float, end: float, factor: float, customers: int) -> None:
+    def add_load_burst(self, start: float, end: float, factor: float, customers: int) -> None:
         """Clients ask more for a while."""
-        self.clients.push(start, end, factor, customers)
+        self.clients.add_burst(start, end, factor, customers)
 
     def change_plans(self, plans: list[PlanKind]) -> None:
         """Writes the new plans to the configuration files and sends SIGHUP."""
-        self.clients.replan({plan.name: plan for plan in plans}, self.resize)
+        self.clients.change_plans({plan.name: plan for plan in plans}, self.resize_bucket)
         for gateway in self.gateways:
             if gateway.up:
                 self._write(gateway)
@@ -375,58 +377,58 @@
 
     # What the clients see
 
-    def _taken(self, held: Held) -> None:
+    def _taken(self, held: PendingRequest) -> None:
         self.asks[held.record.id] = held
         gateway = cast(LiveGateway, held.gateway)
-        held.record.excused = held.record.excused or gateway.paused
+        held.record.is_exempt = held.record.is_exempt or gateway.paused
         self.log("asks", held.record.id, f"n{gateway.number}")
         due = held.record.deadline + self.experiment.rules.answer_slack_s + SLACK + LATE
         self.kernel.at(due, self._due, held)
 
-    def _due(self, held: Held) -> None:
+    def _due(self, held: PendingRequest) -> None:
         gateway = cast(LiveGateway, held.gateway)
         late = self.kernel.lag() > LATE
-        if not held.answered and not held.left and gateway.up and not late and not gateway.paused:
-            self.rules.due(self.kernel.now, held.record)
+        if not held.answered and not held.is_disconnected and gateway.up and not late and not gateway.paused:
+            self.rules.check_deadline(self.kernel.now, held.record)
         # An attempt may still be on its way to a server that is slow to read.
         self.kernel.after(held.record.kind.deadline_s, self._forget, held.record.id)
 
     def _forget(self, request: str) -> None:
         self.asks.pop(request, None)
 
-    def _answered(self, held: Held, what: str) -> None:
+    def _answered(self, held: PendingRequest, what: str) -> None:
         self.log(what, held.record.id, f"n{cast(LiveGateway, held.gateway).number}")
         if self.kernel.lag() > LATE:
-            held.record.excused = True
-        self.rules.answer(self.kernel.now - SLACK, held.record, what)
+            held.record.is_exempt = True
+        self.rules.check_answer(self.kernel.now - SLACK, held.record, what)
 
-    def served(self, held: Held, value: bytes) -> None:
+    def served(self, held: PendingRequest, value: bytes) -> None:
         """A value has come: checks that an endpoint made it for this request."""
         self._answered(held, "served")
         made = [value_of(held.record.id, sent.server) for sent in held.record.attempts]
         if value not in made:
-            self.rules.broken(
+            self.rules.report_violation(
                 "made by a server", self.kernel.now, f"request {held.record.id} was served with {value!r:.80}"
             )
 
-    def refused(self, held: Held) -> None:
+    def refused(self, held: PendingRequest) -> None:
         """A rejection has come: checks that a retry does no harm."""
-        self.rules.refuse(self.kernel.now, held.record)
+        self.rules.check_rejection(self.kernel.now, held.record)
         self._answered(held, "refused")
 
-    def failed(self, held: Held) -> None:
+    def failed(self, held: PendingRequest) -> None:
         """A failure has come."""
         self._answered(held, "failed")
 
-    def dropped(self, held: Held) -> None:
+    def dropped(self, held: PendingRequest) -> None:
         """A connection ended without an answer, which breaks a rule."""
-        self.rules.broken(
+        self.rules.report_violation(
             "one answer", self.kernel.now, f"request {held.record.id}: its connection ended without an answer"
         )
 
     def odd(self, text: str) -> None:
         """Something came that the protocol does not allow."""
-        self.rules.broken("protocol", self.kernel.now, text)
+        self.rules.report_violation("protocol", self.kernel.now, text)
 
     # What the servers see
 
@@ -444,33 +446,33 @@
             for name in gateway.starts.keys() - named:
                 gateway.leaving.setdefault(name, now)
 
-    def asked(self, request: str) -> Held | None:
+    def asked(self, request: str) -> PendingRequest | None:
         """The request of this id that is waited for."""
         return self.asks.get(request)
 
-    def arrived(self, held: Held, server: ServerModel, _request: str) -> bool:
+    def arrived(self, held: PendingRequest, server: ServerModel, _request: str) -> bool:
         """An attempt has reached a stand-in: checks the rules on attempts."""
         now = self.kernel.now
         record = held.record
         gateway = cast(LiveGateway, held.gateway)
         first = not record.attempts
-        self.rules.send(now, record, server.id, server.zone, server.cell)
-        self.rules.draining(now - SLACK, gateway.number, server.id, gateway.leaving.get(server.id))
-        self.record.count(now, "attempts")
+        self.rules.check_attempt(now, record, server.id, server.zone, server.cell)
+        self.rules.check_draining(now - SLACK, gateway.number, server.id, gateway.leaving.get(server.id))
+        self.recorder.count(now, "attempts")
         if first:
-            self.rules.spend(now, record)
-            self.clients.spent(held)
+            self.rules.charge_ceiling(now, record)
+            self.clients.attempt_arrived(held)
         knew = gateway.starts.get(server.id, 0.0) >= server.started_at
-        if self.rules.reached(now, server.id, held.work, knew, server.capacity(), server.is_warming_up()):
-            self.record.count(now, "servers that fell over")
-            self.push_over(server)
+        if self.rules.add_work(now, server.id, held.work, knew, server.capacity(), server.is_warming_up()):
+            self.recorder.count(now, "servers that fell over")
+            self.collapse_server(server)
             return False
         return True
 
-    def ended(self, held: Held, place: int, outcome: Outcome) -> None:
+    def ended(self, held: PendingRequest, place: int, outcome: Outcome) -> None:
         """An attempt has ended at its stand-in."""
-        self.rules.ended(held.record, place, outcome)
-        self.record.count(self.kernel.now, f"outcome.{outcome.value}")
+        self.rules.end_attempt(held.record, place, outcome)
+        self.recorder.count(self.kernel.now, f"outcome.{outcome.value}")
 
     def log(self, event: str, request: str, server: str) -> None:
         """Writes a line that `ingressctl report --follow` finds."""
--- a/ingress/emulator/live/servers.py
+++ b/ingress/emulator/live/servers.py
@@ -10,7 +10,7 @@
 import hiredis
 
 from ingress.decisions.endpoint import Outcome
-from ingress.emulator.gateways import Held
+from ingress.emulator.gateways import PendingRequest
 from ingress.emulator.kernel import Clock
 from ingress.emulator.live.vanish import come_back, vanish
 from ingress.emulator.network import NetworkModel
@@ -31,13 +31,13 @@
 class Ledger(Protocol):
     """Who knows the requests that are under way, and checks the rules."""
 
-    def asked(self, request: str) -> Held | None:
+    def asked(self, request: str) -> PendingRequest | None:
         """The request of this id, if anybody waits for it."""
 
-    def arrived(self, held: Held, server: ServerModel, request: str) -> bool:
+    def arrived(self, held: PendingRequest, server: ServerModel, request: str) -> bool:
         """An attempt is here whole; whether the server still stands."""
 
-    def ended(self, held: Held, place: int, outcome: Outcome) -> None:
+    def ended(self, held: PendingRequest, place: int, outcome: Outcome) -> None:
         """An attempt has ended."""
 
     def odd(self, text: str) -> None:
@@ -50,7 +50,7 @@
 class LiveAttempt:
     """One request that a server holds."""
 
-    def __init__(self, talk: Talk, held: Held, request: str, expires: float) -> None:
+    def __init__(self, talk: Talk, held: PendingRequest, request: str, expires: float) -> None:
         self.talk = talk
         self.held = held
         self.request = request
@@ -147,7 +147,7 @@
         attempt = LiveAttempt(self, held, name, server.kernel.now + wait)
         self.slots.append(attempt)
         if not server.network.loses_answer():
-            server.model.arrive(attempt)
+            server.model.receive(attempt)
 
     def flush(self) -> None:
         """Writes the answers that are ready, in the order of the commands."""
--- a/ingress/emulator/live/upgrades.py
+++ b/ingress/emulator/live/upgrades.py
@@ -23,11 +23,11 @@
 import uvloop
 
 from ingress.decisions.settings import Settings
-from ingress.emulator.experiment import build
+from ingress.emulator.experiment import build_experiment
 from ingress.emulator.live.clients import NOTHING
 from ingress.emulator.live.ingress import Process, call, wire_settings
 from ingress.emulator.live.loopback import loopback
-from ingress.emulator.testbed import settings_of
+from ingress.emulator.testbed import gateway_settings
 from ingress.errors import IngressError
 
 CLIENT_PORT = 6379
@@ -96,7 +96,7 @@
                 "ceiling_slack": 1.0,
             },
         ]
-        spec = build(
+        spec = build_experiment(
             {
                 "name": "upgrades",
                 "seconds": 1.0,
@@ -105,7 +105,7 @@
                 "plans": plans,
             }
         )
-        return settings_of(spec, 0, list(spec.plans))
+        return gateway_settings(spec, 0, list(spec.plans))
 
     async def start(self) -> Process:
         """Starts one more process of the ingress, which takes over from the last."""
--- a/ingress/emulator/measure.py
+++ b/ingress/emulator/measure.py
@@ -9,23 +9,23 @@
 
 MIN_LATENCY_US = 1
 MAX_LATENCY_US = 60_000_000
-DIGITS = 3  # of a latency that are kept
+SIGNIFICANT_DIGITS = 3  # of a latency that are kept
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
-def histogram() -> HdrHistogram:
+def new_histogram() -> HdrHistogram:
     """An empty histogram of latencies in us."""
-    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, DIGITS)
+    return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
-def decode(text: str) -> HdrHistogram:
+def decode_histogram(text: str) -> HdrHistogram:
     """A histogram as `encode` wrote it."""
-    found = histogram()
+    found = new_histogram()
     found.decode_and_add(text.encode())
     return found
 
 
-def encode(source: HdrHistogram) -> str:
+def encode_histogram(source: HdrHistogram) -> str:
     """A histogram as text."""
     return str(source.encode().decode())
 
@@ -34,7 +34,7 @@
     """Latencies, given in s and recorded in us."""
 
     def __init__(self) -> None:
-        self.histogram = histogram()
+        self.histogram = new_histogram()
 
     def add(self, seconds: float) -> None:
         """Records one."""
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.series: defaultdict[int, Counter[str]] = defaultdict(Counter)
         self.totals: Counter[str] = Counter()
-        self.worth: defaultdict[str, float] = defaultdict(float)
+        self.weights: defaultdict[str, float] = defaultdict(float)
         self.latencies: dict[str, Latencies] = {}
 
     def count(self, now: float, what: str, amount: float = 1) -> None:
--- a/ingress/emulator/network.py
+++ b/ingress/emulator/network.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ingress.emulator.experiment import Network
-from ingress.emulator.kernel import Draws
+from ingress.emulator.kernel import RandomStream
 
 
 class NetworkModel:
@@ -15,9 +15,9 @@
         reset_rate: the share of attempts whose connection is reset.
     """
 
-    def __init__(self, spec: Network, draws: Draws) -> None:
+    def __init__(self, spec: Network, draws: RandomStream) -> None:
         self.spec = spec
-        self.draws = draws
+        self.random = draws
         self.isolated_zones: set[int] = set()
         self.loss_rate = spec.loss
         self.reset_rate = spec.reset
@@ -25,11 +25,11 @@
     def delay(self, here: int, there: int) -> float:
         """One way between two zones, in s."""
         mean = self.spec.same_ms if here == there else self.spec.cross_ms
-        return mean / 1000 * (1 + self.draws.exponential(self.spec.jitter))
+        return mean / 1000 * (1 + self.random.exponential(self.spec.jitter))
 
     def client_delay(self) -> float:
         """One way between a client and a gateway, in s."""
-        return self.spec.client_ms / 1000 * (1 + self.draws.exponential(self.spec.jitter))
+        return self.spec.client_ms / 1000 * (1 + self.random.exponential(self.spec.jitter))
 
     def is_reachable(self, here: int, there: int) -> bool:
         """Whether packets pass between two zones."""
@@ -37,8 +37,8 @@
 
     def loses_answer(self) -> bool:
         """Whether this answer gets lost."""
-        return self.draws.chance(self.loss_rate)
+        return self.random.chance(self.loss_rate)
 
     def resets_connection(self) -> bool:
         """Whether the connection of this attempt is reset."""
-        return self.draws.chance(self.reset_rate)
+        return self.random.chance(self.reset_rate)
--- a/ingress/emulator/oracle.py
+++ b/ingress/emulator/oracle.py
@@ -8,7 +8,7 @@
 from ingress.decisions.cluster import Cluster
 from ingress.decisions.congestion import CONGESTION_FULL_RATIO, CONGESTION_START_RATIO, CongestionEstimate
 from ingress.decisions.settings import Settings
-from ingress.emulator.gateways import Make
+from ingress.emulator.gateways import GatewayFactory
 from ingress.emulator.servers import ServerModel
 
 SHEDDING_START = 0.3  # latency objectives that a response would take: shedding begins
@@ -53,7 +53,7 @@
         return waits / max(paces, 1e-9)
 
 
-def seeing(true: Mapping[str, ServerModel], work: float) -> Make:
+def oracle_gateway_factory(true: Mapping[str, ServerModel], work: float) -> GatewayFactory:
     """Gateways that see the waiting at the servers `true`."""
 
     def make(settings: Settings, seed: int) -> gateway.Gateway:
--- a/ingress/emulator/play.py
+++ b/ingress/emulator/play.py
@@ -26,11 +26,11 @@
 
         result = play_live(experiment, int(seed), Path(folder) / "logs" / f"{version}-{seed}")
     else:
-        from ingress.emulator.world import World, made_by
+        from ingress.emulator.world import Simulation, factory_builder
 
-        world = World(experiment, int(seed), maker=made_by(version, experiment))
+        world = Simulation(experiment, int(seed), factory_builder=factory_builder(version, experiment))
         signal.signal(signal.SIGINT, lambda *_: world.interrupt())
-        result = world.play()
+        result = world.run()
     print(json.dumps(result))
     return 0
 
--- a/ingress/emulator/report.py
+++ b/ingress/emulator/report.py
@@ -14,7 +14,7 @@
 
 from ingress.emulator.compare import FIGURES, compare, figures
 from ingress.emulator.experiment import Experiment, load_experiment
-from ingress.emulator.measure import decode, histogram
+from ingress.emulator.measure import decode_histogram, new_histogram
 from ingress.emulator.results import EXPERIMENT, PLAYS, ResultsError, read_plays
 
 mpl.use("Agg")
@@ -132,11 +132,11 @@
 
 
 def _added(rows: list[dict[str, Any]]) -> HdrHistogram:
-    total = histogram()
+    total = new_histogram()
     for row in rows:
         text = row["result"]["exact"]["histograms"].get("request")
         if text:
-            total.add(decode(text))
+            total.add(decode_histogram(text))
     return total
 
 
--- a/ingress/emulator/servers.py
+++ b/ingress/emulator/servers.py
@@ -8,13 +8,13 @@
 
 from ingress.decisions.endpoint import Outcome
 from ingress.emulator.experiment import Fleet
-from ingress.emulator.kernel import Clock, Draws
+from ingress.emulator.kernel import Clock, RandomStream
 
-INSTANT = 0.002  # s that an error takes which needs no work
-FULL_TAX = 0.1  # of its capacity that a server with a full connection table loses
+IMMEDIATE_ERROR_S = 0.002  # s that an error takes which needs no work
+FULL_TABLE_CAPACITY_LOSS_RATIO = 0.1  # of its capacity that a server with a full connection table loses
 
 
-class Caller(Protocol):
+class ServerAttempt(Protocol):
     """An attempt, as its server sees it."""
 
     work: float  # s on a core of nominal speed
@@ -44,7 +44,6 @@
         "connections",
         "cores",
         "defect",
-        "draws",
         "fleet",
         "handshake_work",
         "id",
@@ -54,16 +53,17 @@
         "is_running",
         "kernel",
         "queue",
+        "random",
         "speed",
         "started_at",
         "work_done",
         "zone",
     )
 
-    def __init__(self, kernel: Clock, fleet: Fleet, number: int, name: str, draws: Draws) -> None:
+    def __init__(self, kernel: Clock, fleet: Fleet, number: int, name: str, draws: RandomStream) -> None:
         self.kernel = kernel
         self.fleet = fleet
-        self.draws = draws
+        self.random = draws
         self.id = name
         self.zone = number % fleet.zones
         self.cell = number // 4
@@ -78,7 +78,7 @@
         self.work_done = 0.0
         self.handshake_work = 0.0
         self.collapsed = False  # it was pushed over while it was cold, and stays down
-        self.queue: deque[Caller] = deque()
+        self.queue: deque[ServerAttempt] = deque()
         self.defect: Defect | None = None
 
     def capacity_share(self) -> float:
@@ -95,7 +95,7 @@
     def capacity(self) -> float:
         """Seconds of nominal work that it does in a second."""
         full = self.connections / (self.fleet.connections_per_core * self.cores)
-        return self.cores * self.speed * self.capacity_share() * (1 - FULL_TAX * min(1.0, full))
+        return self.cores * self.speed * self.capacity_share() * (1 - FULL_TABLE_CAPACITY_LOSS_RATIO * min(1.0, full))
 
     def pace(self) -> float:
         """Seconds of nominal work that one core does in a second now."""
@@ -111,17 +111,17 @@
         refuses = self.defect is not None and self.defect.mode == "refuse"
         return self.is_running and not refuses and (self.connections < self.fleet.connections_per_core * self.cores)
 
-    def arrive(self, attempt: Caller) -> None:
+    def receive(self, attempt: ServerAttempt) -> None:
         """An attempt is here whole."""
-        bad = self.defect if self.defect is not None and self.draws.chance(self.defect.rate) else None
+        bad = self.defect if self.defect is not None and self.random.chance(self.defect.rate) else None
         if bad is not None and bad.mode == "silent":
             return
-        if (bad is not None and bad.mode == "errors") or self.draws.chance(self.fleet.error_rate):
-            self.kernel.after(INSTANT, attempt.complete, Outcome.ERROR)
+        if (bad is not None and bad.mode == "errors") or self.random.chance(self.fleet.error_rate):
+            self.kernel.after(IMMEDIATE_ERROR_S, attempt.complete, Outcome.ERROR)
         elif self.is_draining or self.kernel.now >= attempt.expires_at:
             attempt.complete(Outcome.REJECTED)
         elif self.busy < self.cores:
-            self._begin(attempt)
+            self._start_work(attempt)
         elif len(self.queue) < self.fleet.queue_per_core * self.cores:
             self.queue.append(attempt)
         else:
@@ -133,25 +133,25 @@
         self.handshake_work += work
         return work
 
-    def _begin(self, attempt: Caller) -> None:
+    def _start_work(self, attempt: ServerAttempt) -> None:
         self.busy += 1
         took = attempt.work / self.pace() + self.handshake_work
         self.handshake_work = 0.0
-        self.kernel.after(took, self._end, attempt, self.incarnation)
+        self.kernel.after(took, self._finish_work, attempt, self.incarnation)
 
-    def _end(self, attempt: Caller, epoch: int) -> None:
+    def _finish_work(self, attempt: ServerAttempt, epoch: int) -> None:
         if epoch != self.incarnation:
             return  # it died with the process
         self.busy -= 1
         self.work_done += attempt.work
-        spoilt = self.defect is not None and self.defect.mode == "spoilt" and (self.draws.chance(self.defect.rate))
+        spoilt = self.defect is not None and self.defect.mode == "spoilt" and (self.random.chance(self.defect.rate))
         attempt.complete(Outcome.MALFORMED if spoilt else Outcome.OK)
         while self.queue and self.busy < self.cores:
             waiting = self.queue.popleft()
             if self.kernel.now >= waiting.expires_at or (waiting.is_abandoned and self.fleet.cancel == "queued"):
                 waiting.complete(Outcome.REJECTED)
             else:
-                self._begin(waiting)
+                self._start_work(waiting)
 
     def stop(self) -> None:
         """The process ends; what it holds is gone."""
--- a/ingress/emulator/shrink.py
+++ b/ingress/emulator/shrink.py
@@ -7,7 +7,7 @@
 
 import tomli_w
 
-from ingress.emulator.experiment import Experiment, ExperimentError, build
+from ingress.emulator.experiment import Experiment, ExperimentError, build_experiment
 
 MIN_SECONDS = 2.0  # of a play
 MAX_PLAYS = 60
@@ -93,7 +93,7 @@
 
 def _build(what: str, source: dict[str, Any]) -> Iterator[tuple[str, Experiment]]:
     try:
-        yield what, build(source)
+        yield what, build_experiment(source)
     except ExperimentError:
         return  # the parts no longer fit together
 
--- a/ingress/emulator/testbed.py
+++ b/ingress/emulator/testbed.py
@@ -9,16 +9,16 @@
 from ingress.decisions.endpoint import Endpoint, Readiness
 from ingress.decisions.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 from ingress.emulator.experiment import Experiment, PlanKind
-from ingress.emulator.kernel import Clock, streams
+from ingress.emulator.kernel import Clock, random_streams
 from ingress.emulator.listing import DiscoveryModel
-from ingress.emulator.measure import Recorder, encode
+from ingress.emulator.measure import Recorder, encode_histogram
 from ingress.emulator.network import NetworkModel
-from ingress.emulator.rules import Rules, Store
+from ingress.emulator.rules import RuleChecker, TokenBucket
 from ingress.emulator.servers import ServerModel
 
 STREAMS = ("arrivals", "front", "servers", "network", "listing", "faults", "seeds")
-FRONT_TURNS = 0.1  # s until the front has read that a gateway takes no more
-LOOKS = 1.0  # s between looks at states
+LOAD_BALANCER_REACTION_S = 0.1  # s until the front has read that a gateway takes no more
+SAMPLE_INTERVAL_S = 1.0  # s between looks at states
 
 
 def zone_name(number: int) -> str:
@@ -26,7 +26,7 @@
     return f"z{number}"
 
 
-def settings_of(experiment: Experiment, number: int, plans: list[PlanKind]) -> Settings:
+def gateway_settings(experiment: Experiment, number: int, plans: list[PlanKind]) -> Settings:
     """What a gateway of this experiment is told at its start."""
     fleet = experiment.fleet
     rules = experiment.rules
@@ -85,24 +85,24 @@
         self.experiment = experiment
         self.seed = seed
         self.kernel = kernel
-        self.draws = streams(seed, STREAMS)
-        self.record = Recorder()
-        self.network = NetworkModel(experiment.network, self.draws["network"])
+        self.random = random_streams(seed, STREAMS)
+        self.recorder = Recorder()
+        self.network = NetworkModel(experiment.network, self.random["network"])
         self.servers: dict[str, ServerModel] = {}
         for _ in range(experiment.fleet.servers):
             self._new_server()
         self.discovery = DiscoveryModel(
-            kernel, experiment.listing, self.draws["listing"], map(self.entry, self.servers.values())
+            kernel, experiment.listing, self.random["listing"], map(self.entry, self.servers.values())
         )
-        self.rules = Rules(experiment, experiment.load.work_ms / 1000)
+        self.rules = RuleChecker(experiment, experiment.load.work_ms / 1000)
         self.plans = list(experiment.plans)
-        self._done: dict[str, float] = {}
+        self._work_done: dict[str, float] = {}
 
     # Servers
 
     def _new_server(self) -> ServerModel:
         number = len(self.servers)
-        server = ServerModel(self.kernel, self.experiment.fleet, number, f"s-{number:05d}", self.draws["servers"])
+        server = ServerModel(self.kernel, self.experiment.fleet, number, f"s-{number:05d}", self.random["servers"])
         self.servers[server.id] = server
         return server
 
@@ -142,7 +142,7 @@
         self.reset_server(server)
         self._publish(server, self.experiment.listing.gone_s, Readiness.REMOVED)
 
-    def push_over(self, server: ServerModel) -> None:
+    def collapse_server(self, server: ServerModel) -> None:
         """A cold server got more than it bears: it stays down."""
         server.collapse()
         self.reset_server(server)
@@ -151,14 +151,14 @@
     def start_server(self, server: ServerModel) -> None:
         """Its process starts anew; the list learns of it late."""
         server.start()
-        self.rules.forget(server.id)
+        self.rules.reset_server(server.id)
         if not server.collapsed:
             self.reset_server(server)
             self._publish(server, self.experiment.listing.add_s)
 
-    def forget_server(self, server: ServerModel, on: bool) -> None:
+    def forget_server(self, server: ServerModel, forgotten: bool) -> None:
         """The list has it as gone, or as ready again: it runs all the while."""
-        self._publish(server, (0.0, 0.0), Readiness.REMOVED if on else Readiness.READY, runs=True)
+        self._publish(server, (0.0, 0.0), Readiness.REMOVED if forgotten else Readiness.READY, runs=True)
 
     def replace_server(self, server: ServerModel, warning: float) -> None:
         """It drains and goes; another takes its place at once."""
@@ -179,11 +179,11 @@
     # Gateways
 
     @abstractmethod
-    def kill_gateway(self, number: int, ended: bool = False) -> None:
+    def kill_gateway(self, number: int, drained: bool = False) -> None:
         """SIGKILL.  `ended`: after a drain, which must have left nothing unanswered."""
 
     @abstractmethod
-    def end_gateway(self, number: int) -> None:
+    def terminate_gateway(self, number: int) -> None:
         """SIGTERM."""
 
     @abstractmethod
@@ -191,18 +191,18 @@
         """Starts a process in the place of one that ended."""
 
     @abstractmethod
-    def pause_gateway(self, number: int, on: bool) -> None:
+    def pause_gateway(self, number: int, paused: bool) -> None:
         """SIGSTOP, SIGCONT."""
 
     @abstractmethod
-    def push_load(self, start: float, end: float, factor: float, customers: int) -> None:
+    def add_load_burst(self, start: float, end: float, factor: float, customers: int) -> None:
         """All clients (or the first so many) ask `factor` times as much meanwhile."""
 
     @abstractmethod
     def change_plans(self, plans: list[PlanKind]) -> None:
         """SIGHUP everywhere, once the files hold these plans."""
 
-    def reload(self, factor: float) -> None:
+    def scale_plans(self, factor: float) -> None:
         """Every plan's rate and burst times `factor`."""
         self.plans = [
             plan.model_copy(update={"rate": plan.rate * factor, "burst": max(1.0, plan.burst * factor)})
@@ -210,40 +210,40 @@
         ]
         self.change_plans(self.plans)
 
-    def resize(self, store: Store, plan: PlanKind) -> None:
+    def resize_bucket(self, store: TokenBucket, plan: PlanKind) -> None:
         """What customers have spent stays spent, in the world's own stores as well."""
-        store.fill(self.kernel.now)
-        store.rate, store.cap, store.level = plan.rate, plan.burst, min(store.level, plan.burst)
+        store.refill(self.kernel.now)
+        store.rate, store.capacity, store.level = plan.rate, plan.burst, min(store.level, plan.burst)
 
     # What is seen
 
-    def look_at_servers(self, second: float) -> None:
+    def sample_servers(self, second: float) -> None:
         """What the servers have done in the second that ends now."""
         work = {"warm": [0.0] * 4, "cold": [0.0] * 4}  # done, possible, waiting, how many
         for server in self.servers.values():
-            done, self._done[server.id] = server.work_done - self._done.get(server.id, 0.0), server.work_done
+            done, self._work_done[server.id] = server.work_done - self._work_done.get(server.id, 0.0), server.work_done
             if not server.is_running or server.is_draining:
                 continue
             sums = work["cold" if server.is_warming_up() else "warm"]
             sums[0] += done
-            sums[1] += server.capacity() * LOOKS
+            sums[1] += server.capacity() * SAMPLE_INTERVAL_S
             sums[2] += len(server.queue)
             sums[3] += 1
         for name, (done, possible, waiting, count) in work.items():
-            self.record.set_gauge(second, f"servers.{name}", count)
+            self.recorder.set_gauge(second, f"servers.{name}", count)
             if possible:
-                self.record.set_gauge(second, f"use.{name}", done / possible)
-                self.record.set_gauge(second, f"waiting.{name}", waiting)
-        self.record.set_gauge(second, "connections", sum(s.connections for s in self.servers.values()))
+                self.recorder.set_gauge(second, f"use.{name}", done / possible)
+                self.recorder.set_gauge(second, f"waiting.{name}", waiting)
+        self.recorder.set_gauge(second, "connections", sum(s.connections for s in self.servers.values()))
 
     def result(self, cpu: float) -> dict[str, Any]:
         """The result of the play as plain data; `cpu`: s of the processor."""
-        return result_of(self.kernel, self.seed, self.record, self.rules, cpu)
+        return build_result(self.kernel, self.seed, self.recorder, self.rules, cpu)
 
 
-def result_of(kernel: Clock, seed: int, record: Recorder, rules: Rules, cpu: float) -> dict[str, Any]:
+def build_result(kernel: Clock, seed: int, record: Recorder, rules: RuleChecker, cpu: float) -> dict[str, Any]:
     """Plain data; in simulated time `exact` is the same in each play of this seed."""
-    worth = record.worth
+    worth = record.weights
     latencies = sorted(record.latencies.items())
     exact = {
         "seed": seed,
@@ -254,10 +254,10 @@
         "good": round((worth["earned"] - worth["over cost"]) / (worth["offered"] or 1.0), 6),
         "totals": {key: round(value, 6) for key, value in sorted(record.totals.items())},
         "latency_ms": {name: one.percentiles() for name, one in latencies},
-        "histograms": {name: encode(one.histogram) for name, one in latencies},
+        "histograms": {name: encode_histogram(one.histogram) for name, one in latencies},
         "broken": dict(sorted(rules.counts.items())),
-        "breaks": [asdict(one) for one in rules.told],
-        "lowest_ceiling": round(rules.lowest, 6),
+        "breaks": [asdict(one) for one in rules.violations],
+        "lowest_ceiling": round(rules.lowest_ceiling_ratio, 6),
         "series": record.series_rows(),
     }
     return {"exact": exact, "cpu_s": round(cpu, 3), "events_a_second": round(kernel.events / cpu) if cpu > 0 else 0}
--- a/ingress/ingressctl/experiments.py
+++ b/ingress/ingressctl/experiments.py
@@ -51,15 +51,15 @@
 
     The same seed gives the same play, to the last event.
     """
-    from ingress.emulator.world import World
+    from ingress.emulator.world import Simulation
 
     experiment = read_experiment(file)
     if experiment.sockets:
         stop(Status.BAD_INPUT, f"{file}: sockets = true: play it with `ingressctl experiment`")
     seed = experiment.seeds[0] if seed is None else seed
-    world = World(experiment, seed)
+    world = Simulation(experiment, seed)
     signal.signal(signal.SIGINT, lambda *_: world.interrupt())
-    result = world.play()
+    result = world.run()
     signal.signal(signal.SIGINT, signal.default_int_handler)
     if as_json:
         click.echo(json.dumps(result))
@@ -75,7 +75,7 @@
             found = shrink(
                 experiment,
                 rule,
-                lambda one: dict(World(one, seed).play()["exact"]["broken"]),
+                lambda one: dict(Simulation(one, seed).run()["exact"]["broken"]),
                 report=lambda text: log.info("smaller", by=text),
             )
             smaller.write_text(to_toml(found.model_copy(update={"seeds": [seed]})), encoding="utf-8")
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -21,8 +21,8 @@
 import pytest
 
 from ingress.decisions.settings import Settings
-from ingress.emulator.experiment import build
-from ingress.emulator.world import World
+from ingress.emulator.experiment import build_experiment
+from ingress.emulator.world import Simulation
 from tests.decision_log import RecordedGateway, digest
 from tests.decision_stream import STREAMS, EventStream
 
@@ -80,8 +80,8 @@
         gateways.append(RecordedGateway(settings, seed, lines))
         return gateways[-1]
 
-    world = World(build(source | changes | {"fleet": fleet}), 11, make)
-    world.play()
+    world = Simulation(build_experiment(source | changes | {"fleet": fleet}), 11, make)
+    world.run()
     for gateway in gateways:
         gateway.finish(world.kernel.now)
     return lines
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -21,13 +21,13 @@
 from ingress.decisions.events import AttemptEnded, EndpointListKind, EndpointsChanged, Event, RequestReceived
 from ingress.decisions.gateway import Gateway
 from ingress.decisions.settings import Settings
-from ingress.emulator.experiment import Experiment, ExperimentError, build, load_experiment, read_experiment
-from ingress.emulator.gateways import Make
-from ingress.emulator.kernel import Draws, Kernel, streams
+from ingress.emulator.experiment import Experiment, ExperimentError, build_experiment, load_experiment, read_experiment
+from ingress.emulator.gateways import GatewayFactory
+from ingress.emulator.kernel import Kernel, RandomStream, random_streams
 from ingress.emulator.oracle import SHEDDING_FULL, SHEDDING_START
-from ingress.emulator.rules import Record, Rules
+from ingress.emulator.rules import RequestRecord, RuleChecker
 from ingress.emulator.shrink import shrink, to_toml
-from ingress.emulator.world import World, made_by
+from ingress.emulator.world import Simulation, factory_builder
 
 ROOT = Path(__file__).resolve().parent.parent
 PLANS = [
@@ -70,11 +70,11 @@
         "load": {"use": 0.5} | changes.pop("load", {}),
         "faults": list(faults),
     }
-    return build(source | changes)
+    return build_experiment(source | changes)
 
 
-def exact(one: Experiment, seed: int, make: Make = Gateway) -> dict[str, Any]:
-    found: dict[str, Any] = World(one, seed, make).play()["exact"]
+def exact(one: Experiment, seed: int, make: GatewayFactory = Gateway) -> dict[str, Any]:
+    found: dict[str, Any] = Simulation(one, seed, make).run()["exact"]
     return found
 
 
@@ -134,7 +134,7 @@
 def planted(
     change: Callable[[Gateway, float, Event, list[Action]], list[Action]],
     adapt: Callable[[Settings], Settings] = lambda settings: settings,
-) -> Make:
+) -> GatewayFactory:
     class Planted(Gateway):
         def handle(self, now: float, event: Event) -> list[Action]:
             return change(self, now, event, super().handle(now, event))
@@ -215,7 +215,7 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_a_broken_rule_that_was_planted_is_found(rule: str, make: Make, changes: dict[str, Any]) -> None:
+def test_a_broken_rule_that_was_planted_is_found(rule: str, make: GatewayFactory, changes: dict[str, Any]) -> None:
     one = experiment(**changes)
     assert exact(one, 2)["broken"] == {}
     assert exact(one, 2, make)["broken"].get(rule, 0) > 0
@@ -234,9 +234,9 @@
         {"kind": "burst", "at": 1, "lasts": 2, "factor": 6.0},
         versions=[{"name": "now"}, {"name": "sees", "sees": True}],
     )
-    assert made_by("now", one) is None
-    world = World(one, 1, maker=made_by("sees", one))
-    gateway = world.gateways[0].module
+    assert factory_builder("now", one) is None
+    world = Simulation(one, 1, factory_builder=factory_builder("sees", one))
+    gateway = world.gateways[0].decisions
     assert isinstance(gateway, Gateway)
     aim, work = 0.6, one.load.work_ms / 1000
     pace = sum(server.pace() * server.cores for server in world.servers.values()) / len(world.servers)
@@ -249,14 +249,14 @@
         assert gateway.cluster.load_shedder.saturation(now) == pytest.approx(
             (aims - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START)
         )
-    found = World(one, 1, maker=made_by("sees", one)).play()["exact"]
+    found = Simulation(one, 1, factory_builder=factory_builder("sees", one)).run()["exact"]
     assert found["broken"] == {} and found["totals"] != exact(one, 1)["totals"]
 
 
 def test_an_interrupted_play_tells_what_it_measured() -> None:
-    world = World(experiment(seconds=3.0), 1)
+    world = Simulation(experiment(seconds=3.0), 1)
     world.kernel.at(1.5, world.interrupt)
-    found = world.play()["exact"]
+    found = world.run()["exact"]
     assert (found["whole"], found["seconds"]) == (False, 1.5)
     whole = exact(experiment(seconds=3.0), 1)
     assert found["series"][0] == whole["series"][0]  # the same day, cut short
@@ -264,10 +264,13 @@
 
 def test_a_long_day_holds_no_more_than_a_short_one() -> None:
     def held(seconds: float) -> tuple[int, int]:
-        world = World(experiment(seconds=seconds, load={"use": 0.3}, fleet={"gateways": 2, "servers": 2}), 1)
-        world.play()
+        world = Simulation(experiment(seconds=seconds, load={"use": 0.3}, fleet={"gateways": 2, "servers": 2}), 1)
+        world.run()
         gc.collect()
-        return (world.kernel.pending(), sum(len(g.held) + sum(map(len, g.waiting.values())) for g in world.gateways))
+        return (
+            world.kernel.pending(),
+            sum(len(g.pending) + sum(map(len, g.open_attempts.values())) for g in world.gateways),
+        )
 
     short, long = held(5.0), held(50.0)
     assert long[1] == short[1] == 0
@@ -335,24 +338,24 @@
 
 
 def test_a_further_stream_changes_none_of_those_before() -> None:
-    few, more = streams(1, ("a", "b")), streams(1, ("a", "b", "c"))
+    few, more = random_streams(1, ("a", "b")), random_streams(1, ("a", "b", "c"))
     assert [few["b"].uniform() for _ in range(5)] == [more["b"].uniform() for _ in range(5)]
 
 
 def test_lognormal_draws_have_the_mean_and_the_deviation_that_were_asked_for() -> None:
-    draws = streams(1, ("a",))["a"]
+    draws = random_streams(1, ("a",))["a"]
     found = [draws.lognormal(0.075, 1.0) for _ in range(40_000)]
     mean = sum(found) / len(found)
     assert mean == pytest.approx(0.075, rel=0.03)
     assert (sum((x - mean) ** 2 for x in found) / len(found)) ** 0.5 == pytest.approx(0.075, rel=0.1)
-    assert isinstance(draws, Draws)
+    assert isinstance(draws, RandomStream)
 
 
 def test_a_cold_server_is_pushed_over_only_by_those_who_knew() -> None:
     one = experiment(fleet={"cold_s": 10}, rules={"fall_factor": 2.0, "fall_s": 1.0})
     for knew, broken in ((True, 1), (False, 0)):
-        rules = Rules(one, 0.125)
-        fell = [rules.reached(5.0 + n / 100, "s", 0.125, knew, 1.0, True) for n in range(21)]
+        rules = RuleChecker(one, 0.125)
+        fell = [rules.add_work(5.0 + n / 100, "s", 0.125, knew, 1.0, True) for n in range(21)]
         # 2 s of work in the window and four mean requests for chance: the 21st is too much.
         assert fell == [False] * 20 + [True]
         assert rules.counts["cold"] == broken
@@ -360,15 +363,15 @@
 
 def test_a_refusal_of_what_may_have_run_is_a_break() -> None:
     one = experiment()
-    rules, pay = Rules(one, 0.1), one.classes[2]
-    record = Record("1.1", pay, one.plans[0], 1, 1.0, 10.0)
-    rules.send(1.0, record, "s", 0, 0)
-    rules.ended(record, 0, Outcome.REJECTED)
-    rules.refuse(1.1, record)
+    rules, pay = RuleChecker(one, 0.1), one.classes[2]
+    record = RequestRecord("1.1", pay, one.plans[0], 1, 1.0, 10.0)
+    rules.check_attempt(1.0, record, "s", 0, 0)
+    rules.end_attempt(record, 0, Outcome.REJECTED)
+    rules.check_rejection(1.1, record)
     assert not rules.counts  # a full server proves that it never ran
-    rules.send(1.2, record, "s", 0, 0)
-    rules.ended(record, 1, Outcome.RESET)
-    rules.refuse(1.3, record)
+    rules.check_attempt(1.2, record, "s", 0, 0)
+    rules.end_attempt(record, 1, Outcome.RESET)
+    rules.check_rejection(1.3, record)
     assert rules.counts == {"no effect twice": 1}
 
 
@@ -377,7 +380,7 @@
     path = tmp_path / "many.toml"
     path.write_text(
         to_toml(
-            build(
+            build_experiment(
                 {
                     "name": "many",
                     "seconds": 2.0,
--- a/tests/test_emulator_live.py
+++ b/tests/test_emulator_live.py
@@ -21,11 +21,11 @@
 from ingress.decisions.events import EndpointListKind, EndpointsChanged
 from ingress.discovery.client import read_endpoint_list
 from ingress.discovery.http import HttpConnection
-from ingress.emulator.clients import Population
-from ingress.emulator.experiment import Experiment, ExperimentError, build
+from ingress.emulator.clients import ClientPopulation
+from ingress.emulator.experiment import Experiment, ExperimentError, build_experiment
 from ingress.emulator.follow import follow
-from ingress.emulator.gateways import Held
-from ingress.emulator.kernel import streams
+from ingress.emulator.gateways import PendingRequest
+from ingress.emulator.kernel import random_streams
 from ingress.emulator.live.agent import Agent
 from ingress.emulator.live.clients import Caller, Checks
 from ingress.emulator.live.counter import Counter
@@ -35,14 +35,14 @@
 from ingress.emulator.live.servers import StandIn, value_of
 from ingress.emulator.measure import Recorder
 from ingress.emulator.network import NetworkModel
-from ingress.emulator.rules import Record
+from ingress.emulator.rules import RequestRecord
 from ingress.emulator.servers import Defect, ServerModel
 from tests.peers import Caller as Client
 from tests.peers import Peer, Reader, Writer, command, read_command, resp, run, until, value
 
 
 def experiment(**changes: Any) -> Experiment:
-    return build(
+    return build_experiment(
         {
             "name": "test",
             "seconds": 2.0,
@@ -59,18 +59,18 @@
 
     def __init__(self) -> None:
         spec = experiment()
-        self.record = Record("1.1", spec.classes[0], spec.plans[0], 7, 1.0, 5.0)
-        self.held = Held(Caller(RealKernel(), 0, ("", 0), Checks()), self.record, 0.005, None)
+        self.record = RequestRecord("1.1", spec.classes[0], spec.plans[0], 7, 1.0, 5.0)
+        self.held = PendingRequest(Caller(RealKernel(), 0, ("", 0), Checks()), self.record, 0.005, None)
         self.outcomes: list[Outcome] = []
         self.faults: list[str] = []
 
-    def asked(self, request: str) -> Held | None:
+    def asked(self, request: str) -> PendingRequest | None:
         return self.held if request == "1.1" else None
 
-    def arrived(self, held: Held, server: ServerModel, request: str) -> bool:
+    def arrived(self, held: PendingRequest, server: ServerModel, request: str) -> bool:
         return True
 
-    def ended(self, held: Held, place: int, outcome: Outcome) -> None:
+    def ended(self, held: PendingRequest, place: int, outcome: Outcome) -> None:
         self.outcomes.append(outcome)
 
     def odd(self, text: str) -> None:
@@ -82,7 +82,7 @@
 
 @asynccontextmanager
 async def stand_in(**fleet: Any) -> AsyncIterator[tuple[StandIn, Book]]:
-    spec, draws, book = experiment(fleet={"error_rate": 0.0} | fleet), streams(1, ("servers", "network")), Book()
+    spec, draws, book = experiment(fleet={"error_rate": 0.0} | fleet), random_streams(1, ("servers", "network")), Book()
     kernel = RealKernel()
     model = ServerModel(kernel, spec.fleet, 0, "s-00000", draws["servers"])
     server = StandIn(model, kernel, NetworkModel(spec.network, draws["network"]), book)
@@ -239,9 +239,9 @@
                 load={"rate": 200, "retries": 0, "spread": 1.0},
                 classes=[{"name": "read", "aim_s": 10, "deadline_s": 20}],
             )
-            kernel, record, draws = RealKernel(), Recorder(), streams(1, ("arrivals", "front", "network"))
+            kernel, record, draws = RealKernel(), Recorder(), random_streams(1, ("arrivals", "front", "network"))
             caller = Caller(kernel, 0, peer.address, Checks())
-            clients = Population(
+            clients = ClientPopulation(
                 kernel,
                 spec,
                 NetworkModel(spec.network, draws["network"]),
@@ -250,8 +250,8 @@
                 draws["arrivals"],
                 draws["front"],
             )
-            caller.front, caller.up = clients, True
-            clients.begin()
+            caller.load_balancer, caller.up = clients, True
+            clients.start()
             await first.wait()
             await until(lambda: kernel.now > 0.6)  # all were due by now, and none was held back
             sent = record.totals["tries"]
@@ -327,9 +327,9 @@
         day = LivePlay(experiment(seconds=1.0), 1, tmp_path)
         process = Process("n0", ("127.0.0.1", 1), ("127.0.0.1", 2), tmp_path)
         agent = Agent(lambda name: ("", 0), lambda entry: entry, lambda entries, full: None)
-        held = Held(
+        held = PendingRequest(
             LiveGateway(day.kernel, 0, process, agent, day),
-            Record("1.1", day.experiment.classes[0], day.experiment.plans[0], 1, 1.0, 5.0),
+            RequestRecord("1.1", day.experiment.classes[0], day.experiment.plans[0], 1, 1.0, 5.0),
             0.1,
             None,
         )
@@ -359,7 +359,7 @@
     assert len(re.findall(r"checkpoint: \d+ customers and 3 servers, with \d+ records", words)) == 2
     assert all(any(line == "app.checkpoint.on:1|g" for line in lines) for lines in found["ingress"]["figures"].values())
     with pytest.raises(ExperimentError, match=r"fleet\.tls: only real processes have it"):
-        build({"name": "x", "fleet": {"tls": True}})
+        build_experiment({"name": "x", "fleet": {"tls": True}})
 
 
 def test_figures_are_read_and_what_is_none_is_left_out() -> None:
--- a/tests/test_fleet_hard.py
+++ b/tests/test_fleet_hard.py
@@ -15,8 +15,8 @@
 from ingress.decisions.endpoint import Outcome
 from ingress.decisions.events import AttemptEnded, Event, RequestReceived
 from ingress.decisions.gateway import Gateway
-from ingress.emulator.experiment import build
-from ingress.emulator.world import World
+from ingress.emulator.experiment import build_experiment
+from ingress.emulator.world import Simulation
 
 GATEWAYS = 40
 CLASSES = [
@@ -74,7 +74,7 @@
                 successes_by_class[self.requests[event.request_id].request_class.name] += 1
             return super().handle(now, event)
 
-    experiment = build(
+    experiment = build_experiment(
         {
             "name": "hard",
             "seconds": END_S,
@@ -85,7 +85,7 @@
             "load": {"use": 0.35, "notice_s": (0.3, 0.5)} | (load or {}),
         }
     )
-    result: dict[str, Any] = World(experiment, seed, CountingGateway).play()["exact"]
+    result: dict[str, Any] = Simulation(experiment, seed, CountingGateway).run()["exact"]
     return result | {"requests_by_gateway": requests_by_gateway, "successes_by_class": successes_by_class}
 
 
--- a/tests/test_ingressctl.py
+++ b/tests/test_ingressctl.py
@@ -19,8 +19,8 @@
 from ingress.decisions.gateway import Gateway
 from ingress.emulator import world
 from ingress.emulator.compare import compare, interval, slow_seconds
-from ingress.emulator.experiment import build, load_experiment
-from ingress.emulator.measure import Latencies, decode, encode
+from ingress.emulator.experiment import build_experiment, load_experiment
+from ingress.emulator.measure import Latencies, decode_histogram, encode_histogram
 from ingress.emulator.report import make_report, merge
 from ingress.emulator.results import PLAYS, Results, ResultsError, read_plays
 from ingress.emulator.shrink import to_toml
@@ -46,7 +46,7 @@
 
 def write(folder: Path, **changes: Any) -> Path:
     path = folder / "small.toml"
-    path.write_text(to_toml(build(SMALL | changes)), encoding="utf-8")
+    path.write_text(to_toml(build_experiment(SMALL | changes)), encoding="utf-8")
     return path
 
 
@@ -145,12 +145,12 @@
     assert 2 <= len(kept) < 199
     assert (folder / "report.html").exists()
     whole = [row["seed"] for row in kept if row["result"]["exact"]["whole"]]
-    again = Results(folder, build(SMALL | {"seeds": list(range(1, 200))}))
+    again = Results(folder, build_experiment(SMALL | {"seeds": list(range(1, 200))}))
     assert again.done() == {("now", seed) for seed in whole}
 
 
 def test_a_torn_line_is_cut_off_and_its_play_is_played_anew(tmp_path: Path) -> None:
-    one = build(SMALL)
+    one = build_experiment(SMALL)
     results = Results(tmp_path, one)
     for seed in (1, 2):
         results.add("now", seed, {"exact": {"whole": True}})
@@ -164,7 +164,7 @@
         Results(tmp_path, one)
     path.write_bytes(whole)
     with pytest.raises(ResultsError, match="another experiment"):
-        Results(tmp_path, build(SMALL | {"seconds": 3.0}))
+        Results(tmp_path, build_experiment(SMALL | {"seconds": 3.0}))
 
 
 def test_a_version_is_the_package_of_its_revision_under_this_emulator(tmp_path: Path) -> None:
@@ -249,10 +249,10 @@
     one = Latencies()
     for ms in range(1, 1001):
         one.add(ms / 1000)
-    again = decode(encode(one.histogram))
+    again = decode_histogram(encode_histogram(one.histogram))
     assert again.get_total_count() == 1000
     assert again.get_value_at_percentile(99) / 1000 == pytest.approx(990, rel=0.01)
-    again.add(decode(encode(one.histogram)))
+    again.add(decode_histogram(encode_histogram(one.histogram)))
     assert again.get_total_count() == 2000
 
 
@@ -263,7 +263,7 @@
 
 
 def test_a_report_needs_plays(tmp_path: Path) -> None:
-    Results(tmp_path, build(SMALL))
+    Results(tmp_path, build_experiment(SMALL))
     (tmp_path / PLAYS).write_text("", encoding="utf-8")
     with pytest.raises(ResultsError, match="no play"):
         make_report(tmp_path)
--- a/tests/test_quota_replay.py
+++ b/tests/test_quota_replay.py
@@ -15,10 +15,10 @@
 
 from ingress.configuration.document import read_config
 from ingress.decisions.settings import Settings
-from ingress.emulator.clients import Population
-from ingress.emulator.experiment import build
-from ingress.emulator.gateways import GatewayHost, Held
-from ingress.emulator.world import World
+from ingress.emulator.clients import ClientPopulation
+from ingress.emulator.experiment import build_experiment
+from ingress.emulator.gateways import GatewayHost, PendingRequest
+from ingress.emulator.world import Simulation
 from ingress.ingressctl.main import main
 from ingress.observability.quota_replay import (
     Example,
@@ -326,7 +326,7 @@
 def test_it_agrees_with_the_emulators_books(monkeypatch: pytest.MonkeyPatch) -> None:
     """A play of six gateways whose customers ask for more than their quotas, and one that is killed amid it."""
     plan: dict[str, Any] = {"name": "basic", "rate": 1.0, "burst": 3.0}
-    play = build(
+    play = build_experiment(
         {
             "name": "t",
             "seconds": 16.0,
@@ -338,16 +338,16 @@
     )
     contracts = [{"name": "basic", "refill": plan["rate"], "burst": plan["burst"]}]
     log = FleetLog(read_config(config_text(settings=SETTINGS | {"contracts": contracts})).settings, 10_000)
-    count_spent = Population.spent
+    count_spent = ClientPopulation.attempt_arrived
 
-    def spent(population: Population, held: Held) -> None:
+    def spent(population: ClientPopulation, held: PendingRequest) -> None:
         count_spent(population, held)
         customer = str(held.record.customer)
         text = request(population.kernel.now, held.record.id, customer=customer)
         log.read_line(f"n{cast(GatewayHost, held.gateway).number}", text)
 
-    monkeypatch.setattr(Population, "spent", spent)
-    totals = World(play, 3).play()["exact"]["totals"]
+    monkeypatch.setattr(ClientPopulation, "attempt_arrived", spent)
+    totals = Simulation(play, 3).run()["exact"]["totals"]
     [found] = build_report(log).plans
     assert found.forwarded.requests == totals["sent on"] > 200
     assert found.over_quota.requests == totals["beyond quotas"] > 30
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -25,7 +25,7 @@
 from ingress.decisions.settings import Plan, RequestClass, Settings
 from ingress.decisions.subsetting import SUBSET_SIZE
 from ingress.discovery.client import DiscoveryClient, EndpointList
-from ingress.emulator.experiment import build
+from ingress.emulator.experiment import build_experiment
 from ingress.emulator.live.loopback import loopback
 from ingress.observability.log_report import LogReport, as_text
 from ingress.observability.poller import PolledIngress, PollState
@@ -249,7 +249,9 @@
 
 
 def test_an_experiment_with_sockets_may_have_hundreds_of_processes() -> None:
-    experiment = build({"name": "many", "sockets": True, "fleet": {"gateways": GATEWAYS, "servers": SERVERS}})
+    experiment = build_experiment(
+        {"name": "many", "sockets": True, "fleet": {"gateways": GATEWAYS, "servers": SERVERS}}
+    )
     assert (experiment.fleet.gateways, experiment.fleet.servers) == (GATEWAYS, SERVERS)
     addresses = [ipaddress.IPv4Address(loopback(number)) for number in range(1024)]
     assert len(set(addresses)) == 1024 and all(address.is_loopback for address in addresses)
