--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,33 +18,33 @@
 from ingress.decisions.events import AttemptEnded, EndpointListKind, EndpointsChanged, Event, RequestReceived
 from ingress.decisions.gateway import Gateway
 from ingress.decisions.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
-from tests.known_red import known_red
+from tests.known_red import load_known_red
 from tests.peers import STARTED
 
-KNOWN_RED = {known.test: known for known in known_red()}
+KNOWN_FAILURES = {known.test: known for known in load_known_red()}
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """A known failure passes; a listed test that no longer fails does not, so that its line goes."""
     for item in items:
-        if (known := KNOWN_RED.get(item.nodeid)) is not None:
+        if (known := KNOWN_FAILURES.get(item.nodeid)) is not None:
             item.add_marker(pytest.mark.xfail(reason=f"{known.cause}; {known.issue}", strict=True))
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    for known in KNOWN_RED.values():
+    for known in KNOWN_FAILURES.values():
         terminalreporter.write_line(f"KNOWN RED {known.test}: {known.cause}; {known.issue}")
 
 
-SAFE = RequestClass("read", latency_objective=1.0, deadline=4.0)
-KEYED = RequestClass(
+IDEMPOTENT_CLASS = RequestClass("read", latency_objective=1.0, deadline=4.0)
+IDEMPOTENCY_KEY_CLASS = RequestClass(
     "order", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.IDEMPOTENCY_KEY, deduplication_window=3.0
 )
-UNSAFE = RequestClass("pay", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.NOT_IDEMPOTENT)
-BASIC = Plan("basic", rate=2.0, burst=8.0, over_quota_cost=0.5)
+NOT_IDEMPOTENT_CLASS = RequestClass("pay", latency_objective=1.0, deadline=4.0, idempotency=Idempotency.NOT_IDEMPOTENT)
+BASIC_PLAN = Plan("basic", rate=2.0, burst=8.0, over_quota_cost=0.5)
 SETTINGS = Settings(
-    classes=(SAFE, KEYED, UNSAFE),
-    plans=(BASIC,),
+    classes=(IDEMPOTENT_CLASS, IDEMPOTENCY_KEY_CLASS, NOT_IDEMPOTENT_CLASS),
+    plans=(BASIC_PLAN,),
     gateway_count=2,
     slow_start_duration=10.0,
     slow_start_initial_capacity=0.2,
@@ -57,7 +57,7 @@
 
 
 @pytest.fixture(autouse=True)
-def nothing_left_running() -> Iterator[None]:
+def kill_started_processes() -> Iterator[None]:
     yield
     while STARTED:
         child = STARTED.pop()
@@ -66,44 +66,46 @@
                 os.kill(child.pid, signal.SIGKILL)
 
 
-class Play:
+class GatewayHarness:
     """A gateway under test, with a clock and what it has done so far."""
 
     def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Endpoint] = FLEET) -> None:
-        self.now, self.gateway, self.count = 100.0, Gateway(settings, 1), 0
+        self.now, self.gateway, self.request_count = 100.0, Gateway(settings, 1), 0
         self.actions: list[Action] = []
-        self.at(0.0, EndpointsChanged(EndpointListKind.RESTORED, tuple(fleet)))
+        self.handle_after(0.0, EndpointsChanged(EndpointListKind.RESTORED, tuple(fleet)))
 
-    def at(self, after: float, event: Event) -> list[Action]:
+    def handle_after(self, after: float, event: Event) -> list[Action]:
         self.now += after
         done = self.gateway.handle(self.now, event)
         self.actions += done
         return done
 
-    def ask(self, after: float = 0.0, **changes: Any) -> list[Action]:
-        self.count += 1
-        event = RequestReceived(f"r{self.count}", "read", "basic", "c", 4.0, gateway_count=2)
-        return self.at(after, replace(event, **changes))
+    def send_request(self, after: float = 0.0, **changes: Any) -> list[Action]:
+        self.request_count += 1
+        event = RequestReceived(f"r{self.request_count}", "read", "basic", "c", 4.0, gateway_count=2)
+        return self.handle_after(after, replace(event, **changes))
 
-    def end(
+    def end_attempt(
         self, send: StartAttempt, outcome: Outcome = Outcome.OK, after: float = 0.05, attempt: int = 0, **more: Any
     ) -> list[Action]:
         more.setdefault("request_finished", outcome is Outcome.OK)
-        return self.at(after, AttemptEnded(send.request_id, attempt, send.endpoint_id, outcome, after, **more))
+        return self.handle_after(
+            after, AttemptEnded(send.request_id, attempt, send.endpoint_id, outcome, after, **more)
+        )
 
 
-def server(info: Endpoint, now: float) -> TrackedEndpoint:
+def tracked_endpoint(info: Endpoint, now: float) -> TrackedEndpoint:
     """One server of which nothing is known."""
     return TrackedEndpoint(info, now, EndpointHealth(info.id, info.started_at))
 
 
-def sends(actions: Iterable[Action]) -> list[StartAttempt]:
+def started_attempts(actions: Iterable[Action]) -> list[StartAttempt]:
     return [a for a in actions if isinstance(a, StartAttempt)]
 
 
-def finals(actions: Iterable[Action]) -> list[Action]:
+def final_errors(actions: Iterable[Action]) -> list[Action]:
     return [a for a in actions if isinstance(a, RejectRequest | FailRequest)]
 
 
-def scoped(scope: KeyScope) -> RequestClass:
-    return replace(KEYED, key_scope=scope)
+def class_with_key_scope(scope: KeyScope) -> RequestClass:
+    return replace(IDEMPOTENCY_KEY_CLASS, key_scope=scope)
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct
 
-LIST = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
-MOST = 3
+KNOWN_RED_PATH = Path(__file__).resolve().parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_FAILURES = 3
 
 
 class KnownRed(Struct, frozen=True):
@@ -18,24 +18,24 @@
     issue: str
 
 
-class BadList(Exception):
+class KnownRedError(Exception):
     """The list can't be used; the text says why."""
 
 
-def known_red() -> list[KnownRed]:
+def load_known_red() -> list[KnownRed]:
     """What is listed now; nothing where there is no list."""
-    return read_known_red(LIST.read_text(encoding="utf-8") if LIST.exists() else "")
+    return read_known_red(KNOWN_RED_PATH.read_text(encoding="utf-8") if KNOWN_RED_PATH.exists() else "")
 
 
 def read_known_red(text: str) -> list[KnownRed]:
     """The lines of the list.  BadList where there are too many, or one lacks a part."""
     lines = [line for line in text.splitlines() if line.strip()]
-    if len(lines) > MOST:
-        raise BadList(f"{len(lines)} tests are listed, {MOST} at most")
+    if len(lines) > MAX_KNOWN_FAILURES:
+        raise KnownRedError(f"{len(lines)} tests are listed, {MAX_KNOWN_FAILURES} at most")
     known = []
     for line in lines:
         parts = [part.strip() for part in line.split(";")]
         if len(parts) != 3 or not all(parts):
-            raise BadList(f"not of the form `test; cause; issue`: {line}")
+            raise KnownRedError(f"not of the form `test; cause; issue`: {line}")
         known.append(KnownRed(*parts))
     return known
--- a/tests/test_checkpoint.py
+++ b/tests/test_checkpoint.py
@@ -43,12 +43,12 @@
 from ingress.discovery.client import EndpointList
 from ingress.ingress import Ingress
 from ingress.runtime.clock import unix_clock
-from tests.conftest import BASIC, FLEET, SETTINGS
+from tests.conftest import BASIC_PLAN, FLEET, SETTINGS
 from tests.peers import Caller, backend, command, config, entry, run, until
 from tests.test_net_handover import SMALL_BURST_SETTINGS
 from tests.test_net_members import IngressProcesses, ask
 
-SLOW_REFILL_SETTINGS = replace(SETTINGS, plans=(replace(BASIC, rate=0.0002, burst=8.0),))
+SLOW_REFILL_SETTINGS = replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=0.0002, burst=8.0),))
 FULL_SLICE_UNITS = 5.0  # the burst of 8 over 2 gateways, and one request
 
 
@@ -141,7 +141,7 @@
 
 
 def test_buckets_refill_while_no_process_runs_and_no_ceiling_is_raised(tmp_path: Path) -> None:
-    plan = replace(BASIC, rate=2.0, burst=8.0, ceiling_rate=0.5, ceiling_burst=4.0)
+    plan = replace(BASIC_PLAN, rate=2.0, burst=8.0, ceiling_rate=0.5, ceiling_burst=4.0)
     settings = replace(SETTINGS, plans=(plan,))
 
     async def body() -> None:
@@ -270,7 +270,7 @@
     found = recover(files, clocks)
     assert found.events == ((clocks.now, UsageUnknown(clocks.now - 40.0)),)
     assert found.endpoint_list and found.endpoint_list.version == 7
-    gateway = Gateway(replace(SLOW_REFILL_SETTINGS, plans=(replace(BASIC, rate=0.1, burst=8.0),)), 1)
+    gateway = Gateway(replace(SLOW_REFILL_SETTINGS, plans=(replace(BASIC_PLAN, rate=0.1, burst=8.0),)), 1)
     gateway.handle(*found.events[0])
     quota = gateway.quotas.get(clocks.now, "a", gateway.plans["basic"], 2)
     assert abs(quota.slice.level - 2.0) < 1e-6  # 0.05 a second for 40 s, though the burst was spent
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -4,20 +4,20 @@
 
 import pytest
 
-from .known_red import LIST, MOST, BadList, KnownRed, known_red, read_known_red
+from .known_red import KNOWN_RED_PATH, MAX_KNOWN_FAILURES, KnownRed, KnownRedError, load_known_red, read_known_red
 
 
 def test_a_line_names_test_cause_and_issue() -> None:
     assert read_known_red("a.py::test; why; issue 1\n\n") == [KnownRed("a.py::test", "why", "issue 1")]
 
 
-@pytest.mark.parametrize("text", ["a.py::test; why", "a.py::test; ; issue 1", "x; y; z\n" * (MOST + 1)])
+@pytest.mark.parametrize("text", ["a.py::test; why", "a.py::test; ; issue 1", "x; y; z\n" * (MAX_KNOWN_FAILURES + 1)])
 def test_a_list_of_another_form_or_too_long_is_refused(text: str) -> None:
-    with pytest.raises(BadList):
+    with pytest.raises(KnownRedError):
         read_known_red(text)
 
 
 def test_each_listed_test_is_there() -> None:
-    for known in known_red():
+    for known in load_known_red():
         name, _, rest = known.test.partition("::")
-        assert f"def {rest.partition('[')[0]}(" in (LIST.parent / name).read_text(encoding="utf-8")
+        assert f"def {rest.partition('[')[0]}(" in (KNOWN_RED_PATH.parent / name).read_text(encoding="utf-8")
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -17,84 +17,84 @@
 from ingress.decisions.subsetting import SUBSET_SIZE
 from ingress.decisions.timers import TimerToken
 
-from .conftest import BASIC, FLEET, SAFE, SETTINGS, Play, sends
+from .conftest import BASIC_PLAN, FLEET, IDEMPOTENT_CLASS, SETTINGS, GatewayHarness, started_attempts
 
-UNLIMITED = replace(SETTINGS, plans=(replace(BASIC, rate=1e6, burst=1e6),))
+UNLIMITED = replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=1e6, burst=1e6),))
 
 
-def send_requests(play: Play, latency: float, request_count: int = 200) -> dict[str, int]:
+def send_requests(play: GatewayHarness, latency: float, request_count: int = 200) -> dict[str, int]:
     """Send requests one by one, each answered after `latency`; return the number of attempts by endpoint."""
     attempt_counts: dict[str, int] = {}
     for _ in range(request_count):
-        for sent in sends(play.ask(0.01)):
+        for sent in started_attempts(play.send_request(0.01)):
             attempt_counts[sent.endpoint_id] = attempt_counts.get(sent.endpoint_id, 0) + 1
-            play.end(sent, Outcome.OK, latency)
+            play.end_attempt(sent, Outcome.OK, latency)
     return attempt_counts
 
 
 def test_concurrency_limits_start_low_and_grow_with_responses() -> None:
-    play = Play(UNLIMITED)
+    play = GatewayHarness(UNLIMITED)
     for _ in range(100):
-        play.ask(0.0)
-    assert len(sends(play.actions)) <= len(FLEET)
-    for sent in sends(list(play.actions)):
-        play.end(sent, Outcome.OK, 0.01)
-    assert len(sends([a for _ in range(100) for a in play.ask(0.0)])) > len(FLEET) / 2
+        play.send_request(0.0)
+    assert len(started_attempts(play.actions)) <= len(FLEET)
+    for sent in started_attempts(list(play.actions)):
+        play.end_attempt(sent, Outcome.OK, 0.01)
+    assert len(started_attempts([a for _ in range(100) for a in play.send_request(0.0)])) > len(FLEET) / 2
 
 
 def test_old_attempts_reduce_the_concurrency_limit_without_any_response() -> None:
-    play = Play(UNLIMITED)
+    play = GatewayHarness(UNLIMITED)
     send_requests(play, 0.05)
     for endpoint in play.gateway.cluster.endpoints.by_id.values():
         endpoint.concurrency_limit = 20.0
     for _ in range(40):
-        play.ask(0.0)
+        play.send_request(0.0)
     before = sum(s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values())
     for _ in range(20):
-        play.ask(0.5)
+        play.send_request(0.5)
     assert sum(s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values()) < before / 2
 
 
 def test_an_unresponsive_endpoint_gets_no_new_attempts() -> None:
-    play = Play(UNLIMITED)
+    play = GatewayHarness(UNLIMITED)
     send_requests(play, 0.05)
-    unresponsive = sends(play.ask(0.0))[0].endpoint_id
+    unresponsive = started_attempts(play.send_request(0.0))[0].endpoint_id
     play.now += 0.5
     assert unresponsive not in send_requests(play, 0.01, 40)
 
 
 def test_a_slow_endpoint_gets_fewer_attempts() -> None:
-    play = Play(UNLIMITED)
+    play = GatewayHarness(UNLIMITED)
     attempt_counts: dict[str, int] = {}
     for _ in range(300):
-        for sent in sends(play.ask(0.02)):
+        for sent in started_attempts(play.send_request(0.02)):
             attempt_counts[sent.endpoint_id] = attempt_counts.get(sent.endpoint_id, 0) + 1
-            play.end(sent, Outcome.OK, 0.3 if sent.endpoint_id == "b1" else 0.05)
+            play.end_attempt(sent, Outcome.OK, 0.3 if sent.endpoint_id == "b1" else 0.05)
     assert attempt_counts["b1"] < min(attempt_counts[b] for b in ("b0", "b2", "b3")) / 2
 
 
 def test_open_attempts_cause_load_shedding_before_any_response() -> None:
-    play = Play(
-        replace(SETTINGS, gateway_count=300, plans=(replace(BASIC, rate=1e4, burst=1e5),)),
+    play = GatewayHarness(
+        replace(SETTINGS, gateway_count=300, plans=(replace(BASIC_PLAN, rate=1e4, burst=1e5),)),
         (Endpoint(f"b{n}") for n in range(80)),
     )
-    sent = sum(len(sends(play.ask(0.3))) for _ in range(40))
+    sent = sum(len(started_attempts(play.send_request(0.3))) for _ in range(40))
     assert sent < 30  # no response arrived: only the open attempts indicate congestion, at most one at each endpoint
     play.now += 30.0
-    assert sends(play.ask())  # attempts are sent again
+    assert started_attempts(play.send_request())  # attempts are sent again
 
 
 def test_a_few_endpoints_that_never_respond_are_no_congestion() -> None:
-    play = Play(
-        replace(SETTINGS, gateway_count=300, plans=(replace(BASIC, rate=1e4, burst=1e5),)),
+    play = GatewayHarness(
+        replace(SETTINGS, gateway_count=300, plans=(replace(BASIC_PLAN, rate=1e4, burst=1e5),)),
         (Endpoint(f"b{n}") for n in range(80)),
     )
     sent_count = 0
     for _ in range(200):
-        for sent in sends(play.ask(0.2)):
+        for sent in started_attempts(play.send_request(0.2)):
             sent_count += 1
             if int(sent.endpoint_id[1:]) >= 8:
-                play.end(sent, Outcome.OK, 0.1)
+                play.end_attempt(sent, Outcome.OK, 0.1)
     assert sent_count > 180
 
 
@@ -105,14 +105,14 @@
         gateway = Gateway(replace(SETTINGS, gateway_count=400, gateway_index=seed), seed)
         gateway.handle(1.0, EndpointsChanged(EndpointListKind.RESTORED, tuple(fleet)))
         actions = gateway.handle(1.1, RequestReceived("r", "read", "basic", "c", 4.0))
-        chosen += [int(s.endpoint_id[1:]) for s in sends(actions)]
+        chosen += [int(s.endpoint_id[1:]) for s in started_attempts(actions)]
     assert len(set(chosen)) == len(fleet)
     assert 0.3 < sum(n < 10 for n in chosen) / len(chosen) < 0.5  # the weight of the large ones is 20 of 50
 
 
 def test_a_gateway_without_endpoints_in_its_zone_uses_another_zone() -> None:
-    play = Play(replace(UNLIMITED, zone="c"), fleet=(Endpoint("x", "a"),))
-    assert sends(play.ask())
+    play = GatewayHarness(replace(UNLIMITED, zone="c"), fleet=(Endpoint("x", "a"),))
+    assert started_attempts(play.send_request())
 
 
 def test_subsets_are_stable_and_cover_the_endpoints_evenly() -> None:
@@ -134,11 +134,11 @@
 
 
 def test_other_endpoints_are_used_while_the_complete_subset_is_paused() -> None:
-    play = Play(UNLIMITED, (Endpoint(f"b{n}") for n in range(40)))
+    play = GatewayHarness(UNLIMITED, (Endpoint(f"b{n}") for n in range(40)))
     preferred = list(play.gateway.cluster.endpoints.preferred)
     for endpoint in preferred:
         endpoint.health.paused_until = play.now + 60.0  # as if each had rejected attempts
-    sent = sends(play.ask(0.01))
+    sent = started_attempts(play.send_request(0.01))
     assert sent
     assert sent[0].endpoint_id not in {s.info.id for s in preferred}
 
@@ -146,56 +146,67 @@
 HEDGING = replace(SETTINGS, hedging_allowed=True, cancellation_allowed=True)
 
 
-def hedge_of_unanswered_request(play: Play) -> StartAttempt:
+def hedge_of_unanswered_request(play: GatewayHarness) -> StartAttempt:
     """Send a request whose first attempt gets no response, and return its hedge."""
-    first = sends(play.ask())[0]
-    hedges = sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))
+    first = started_attempts(play.send_request())[0]
+    hedges = started_attempts(
+        play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+    )
     assert len(hedges) == 1 and hedges[0].request_id == first.request_id and hedges[0].endpoint_id != first.endpoint_id
     return hedges[0]
 
 
 def test_an_attempt_without_a_response_gets_a_hedge() -> None:
-    play = Play(HEDGING)
+    play = GatewayHarness(HEDGING)
     play.gateway.forwarder.retry_budget.level = 5.0
     hedge = hedge_of_unanswered_request(play)
-    actions = play.end(hedge, attempt=1)
+    actions = play.end_attempt(hedge, attempt=1)
     assert actions == [CancelAttempt(hedge.request_id, 0)] and play.gateway.forwarder.retry_budget.level < 5.0
 
 
 def test_no_hedge_is_sent_after_a_response_or_where_hedging_is_not_allowed() -> None:
-    play = Play(HEDGING)
-    play.end(sends(play.ask())[0])
+    play = GatewayHarness(HEDGING)
+    play.end_attempt(started_attempts(play.send_request())[0])
     assert (
-        play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)) == []
+        play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE)) == []
         and not play.gateway.forwarder.hedging.candidates
     )
-    play = Play()
-    assert sends(play.ask())
+    play = GatewayHarness()
+    assert started_attempts(play.send_request())
     assert TimerToken.HEDGE not in [a.token for a in play.actions if isinstance(a, SetTimer)]
 
 
 @pytest.mark.parametrize(("win_rate", "count"), [(0.0, 0), (1.0, 1)])
 def test_hedges_with_a_low_win_rate_need_more_spare_capacity(win_rate: float, count: int) -> None:
-    play = Play(HEDGING)
+    play = GatewayHarness(HEDGING)
     play.gateway.forwarder.retry_budget.level = 5.0
     play.gateway.forwarder.hedging.win_rate = win_rate
     play.gateway.cluster.load_shedder.saturation = lambda now: HEDGE_MAX_SATURATION / 2  # type: ignore[method-assign]
-    assert sends(play.ask())
-    assert len(sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))) == count
+    assert started_attempts(play.send_request())
+    assert (
+        len(
+            started_attempts(
+                play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+            )
+        )
+        == count
+    )
 
 
 def test_the_hedge_win_rate_follows_which_attempt_responds_first() -> None:
-    play = Play(HEDGING)
+    play = GatewayHarness(HEDGING)
     play.gateway.forwarder.retry_budget.level = 5.0
-    first = sends(play.ask())[0]
-    hedge = sends(play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE)))[0]
-    play.end(hedge, attempt=1)
-    play.end(first, Outcome.CANCELLED, request_finished=True)
+    first = started_attempts(play.send_request())[0]
+    hedge = started_attempts(
+        play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+    )[0]
+    play.end_attempt(hedge, attempt=1)
+    play.end_attempt(first, Outcome.CANCELLED, request_finished=True)
     assert play.gateway.forwarder.hedging.win_rate > 0.5
     win_rate = play.gateway.forwarder.hedging.win_rate
-    first = sends(play.ask())[0]
-    play.at(HEDGE_DELAY_RATIO * SAFE.latency_objective, TimerFired(TimerToken.HEDGE))
-    play.end(first, attempt=0)
+    first = started_attempts(play.send_request())[0]
+    play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+    play.end_attempt(first, attempt=0)
     assert play.gateway.forwarder.hedging.win_rate < win_rate
 
 
@@ -251,14 +262,14 @@
 @settings(max_examples=200, deadline=None)
 @given(steps=st.lists(st.tuples(st.integers(0, 5), st.integers(0, 30), st.floats(0.0, 1.5)), max_size=60))
 def test_incremental_totals_equal_the_sums_over_ready_endpoints(steps: list[tuple[int, int, float]]) -> None:
-    play = Play()
+    play = GatewayHarness()
     open_attempts: list[StartAttempt] = []
     for kind, pick, after in steps:
         if kind < 2:
-            open_attempts += sends(play.ask(after, customer=f"c{pick}"))
+            open_attempts += started_attempts(play.send_request(after, customer=f"c{pick}"))
         elif kind < 4 and open_attempts:
             send = open_attempts.pop(pick % len(open_attempts))
-            play.end(
+            play.end_attempt(
                 send,
                 (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET)[pick % 4],
                 after,
@@ -273,7 +284,7 @@
                 )
                 for n, info in enumerate(FLEET)
             )
-            play.at(after, EndpointsChanged(EndpointListKind.UPDATE, listed))
+            play.handle_after(after, EndpointsChanged(EndpointListKind.UPDATE, listed))
         fleet = play.gateway.cluster.endpoints
         assert fleet.totals.in_flight == sum(len(s.in_flight) for s in fleet.ready)
         assert fleet.totals.concurrency_limits == pytest.approx(sum(s.concurrency_limit for s in fleet.ready))
--- a/tests/test_net_changes.py
+++ b/tests/test_net_changes.py
@@ -36,7 +36,7 @@
 from ingress.process_group.agreement_messages import CommitMessage
 from ingress.runtime.metrics import RequestResult
 from ingress.upstream.counter_client import CounterClient
-from tests.conftest import BASIC, Play, sends
+from tests.conftest import BASIC_PLAN, GatewayHarness, started_attempts
 from tests.peers import (
     SETTINGS,
     Caller,
@@ -349,20 +349,20 @@
 @pytest.mark.parametrize("count", [10_000])
 def test_a_change_with_many_customers_holds_the_loop_up_for_a_bounded_number_of_turns(count: int) -> None:
     """As a multiple of what a request and its answer take in the same run: seconds tell of the machine."""
-    play = Play(replace(FIXED, plans=(replace(BASIC, rate=1e6, burst=1e6),)))
+    play = GatewayHarness(replace(FIXED, plans=(replace(BASIC_PLAN, rate=1e6, burst=1e6),)))
     for number in range(count):
-        [send] = sends(play.ask(customer=f"c{number}", gateway_count=1))
-        play.end(send, after=0.0)
+        [send] = started_attempts(play.send_request(customer=f"c{number}", gateway_count=1))
+        play.end_attempt(send, after=0.0)
     turns, changes = [], []
     for number in range(20):
         began = time.process_time()
         for _ in range(50):
-            [send] = sends(play.ask(customer=f"c{number}", gateway_count=1))
-            play.end(send, after=0.0)
+            [send] = started_attempts(play.send_request(customer=f"c{number}", gateway_count=1))
+            play.end_attempt(send, after=0.0)
         turns.append((time.process_time() - began) / 50)
         began = time.process_time()
-        plan = replace(BASIC, rate=1e6 + number, burst=1e6)
-        play.at(0.0, SettingsChanged(replace(FIXED, plans=(plan,))))
+        plan = replace(BASIC_PLAN, rate=1e6 + number, burst=1e6)
+        play.handle_after(0.0, SettingsChanged(replace(FIXED, plans=(plan,))))
         changes.append(time.process_time() - began)
     assert len(play.gateway.customers) == count
     assert max(changes) < count / 4 * min(turns)  # a customer costs a small part of a request
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -20,7 +20,7 @@
 from ingress.process_group.handover_messages import read_handover_state
 from ingress.upstream.health_check import HealthCheck
 from ingress.upstream.response_parser import AttemptResult, interpret_response, parse_load_report
-from tests.conftest import Play
+from tests.conftest import GatewayHarness
 from tests.peers import (
     SETTINGS,
     Address,
@@ -223,8 +223,8 @@
     ],
 )
 def test_malformed_load_report_is_counted_as_invalid(text: bytes | None, is_invalid: bool) -> None:
-    settings = replace(Play().gateway.settings, load_report_fields=("inflight", "util"))
-    outliers = Play(settings).gateway.cluster.outliers
+    settings = replace(GatewayHarness().gateway.settings, load_report_fields=("inflight", "util"))
+    outliers = GatewayHarness(settings).gateway.cluster.outliers
     result = interpret_response([b"value", None, text])
     load = result.load_report
     assert (result.outcome, result.value) == (Outcome.OK, b"value") and len(load) <= 20
--- a/tests/test_overage.py
+++ b/tests/test_overage.py
@@ -17,26 +17,28 @@
 from ingress.decisions.settings import Plan, Settings
 from ingress.decisions.token_bucket import SlicedBucket
 
-from .conftest import SETTINGS, Play, sends
+from .conftest import SETTINGS, GatewayHarness, started_attempts
 
 COSTLY = Plan("basic", rate=0.6, burst=2.0, over_quota_cost=1.2)
 SHARED = replace(SETTINGS, gateway_count=200, plans=(COSTLY,))
 
 
-def aged(settings: Settings) -> Play:
+def aged(settings: Settings) -> GatewayHarness:
     """Return a gateway older than the time in which a customer that exceeds its quota empties its burst."""
-    play = Play(settings)
+    play = GatewayHarness(settings)
     play.now += 3 * COSTLY.burst / COSTLY.rate
     return play
 
 
-def first_requests(play: Play, customers: int, gateway_count: int, plan: str = "basic") -> int:
+def first_requests(play: GatewayHarness, customers: int, gateway_count: int, plan: str = "basic") -> int:
     """Return how many of `customers`, each seen for the first time, have their request forwarded."""
     passed = 0
     for number in range(customers):
-        for sent in sends(play.ask(0.0, customer=f"customer-{number}", gateway_count=gateway_count, plan=plan)):
+        for sent in started_attempts(
+            play.send_request(0.0, customer=f"customer-{number}", gateway_count=gateway_count, plan=plan)
+        ):
             passed += 1
-            play.end(sent, Outcome.OK, 0.0)
+            play.end_attempt(sent, Outcome.OK, 0.0)
     return passed
 
 
@@ -74,12 +76,12 @@
 
 
 def test_while_customers_still_have_their_bursts_overage_costs_nothing() -> None:
-    assert first_requests(Play(SHARED), customers=100, gateway_count=200) == 100
+    assert first_requests(GatewayHarness(SHARED), customers=100, gateway_count=200) == 100
 
 
 def test_plans_without_an_over_quota_cost_are_not_limited() -> None:
     free = replace(COSTLY, over_quota_cost=0.0)
-    assert first_requests(Play(replace(SHARED, plans=(free,))), customers=100, gateway_count=200) == 100
+    assert first_requests(GatewayHarness(replace(SHARED, plans=(free,))), customers=100, gateway_count=200) == 100
 
 
 def test_a_plan_with_a_low_over_quota_cost_is_granted_where_a_costlier_one_is_rejected() -> None:
@@ -88,9 +90,11 @@
     passed = {"basic": 0, "cheap": 0}
     for number in range(400):
         plan = ("basic", "cheap")[number % 2]
-        for sent in sends(play.ask(0.0, customer=f"customer-{number}", gateway_count=200, plan=plan)):
+        for sent in started_attempts(
+            play.send_request(0.0, customer=f"customer-{number}", gateway_count=200, plan=plan)
+        ):
             passed[plan] += 1
-            play.end(sent, Outcome.OK, 0.0)
+            play.end_attempt(sent, Outcome.OK, 0.0)
     assert passed["cheap"] == 200
     assert 40 < passed["basic"] < 160
 
@@ -99,17 +103,19 @@
     play = aged(SHARED)
     first_requests(play, customers=50, gateway_count=200)
     rejected = [
-        action for action in play.ask(0.0, customer="new", gateway_count=200) if isinstance(action, RejectRequest)
+        action
+        for action in play.send_request(0.0, customer="new", gateway_count=200)
+        if isinstance(action, RejectRequest)
     ]
     assert [rejection.reason for rejection in rejected] == ["advance"]
     assert rejected[0].retry_after == pytest.approx(1 / 0.6)
 
 
 def test_a_quota_at_a_single_gateway_is_never_limited_by_the_overage_budget() -> None:
-    play = Play(replace(SHARED, gateway_count=1))
+    play = GatewayHarness(replace(SHARED, gateway_count=1))
     for _ in range(30):
-        [sent] = sends(play.ask(10.0, gateway_count=1))  # a sixth of its rate
-        play.end(sent, Outcome.OK, 0.0)
+        [sent] = started_attempts(play.send_request(10.0, gateway_count=1))  # a sixth of its rate
+        play.end_attempt(sent, Outcome.OK, 0.0)
 
 
 def test_changes_of_the_settings_grant_no_new_budget() -> None:
@@ -117,7 +123,7 @@
     first_requests(play, customers=200, gateway_count=200)
     before = play.gateway.admission.overage_budget.level, play.gateway.admission.overage_budget.grant_rate
     for _ in range(20):
-        play.at(0.0, SettingsChanged(SHARED))
+        play.handle_after(0.0, SettingsChanged(SHARED))
     assert (play.gateway.admission.overage_budget.level, play.gateway.admission.overage_budget.grant_rate) == before
 
 
@@ -144,11 +150,13 @@
     """Guards against one attempt in flight at each gateway, if a customer sends one after each answer."""
     seconds = 400.0
     mean_duration = 0.5
-    play = Play(replace(SETTINGS, gateway_count=gateway_count, plans=(Plan("basic", concurrency_limit=limit),)))
+    play = GatewayHarness(
+        replace(SETTINGS, gateway_count=gateway_count, plans=(Plan("basic", concurrency_limit=limit),))
+    )
     time_in_flight = 0.0
     while play.now < seconds:
-        for sent in sends(play.ask(0.0, gateway_count=gateway_count)):
-            play.end(sent, Outcome.OK, mean_duration)
+        for sent in started_attempts(play.send_request(0.0, gateway_count=gateway_count)):
+            play.end_attempt(sent, Outcome.OK, mean_duration)
             time_in_flight += mean_duration
         play.now += 0.05
     initial_budgets = CONCURRENCY_BUDGET_CAPACITY * gateway_count * mean_duration / seconds
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -19,7 +19,19 @@
 from ingress.decisions.gateway import Gateway
 from ingress.decisions.settings import Idempotency, KeyScope, Plan, RequestClass
 
-from .conftest import BASIC, FLEET, KEYED, SAFE, SETTINGS, UNSAFE, Play, finals, scoped, sends, server
+from .conftest import (
+    BASIC_PLAN,
+    FLEET,
+    IDEMPOTENCY_KEY_CLASS,
+    IDEMPOTENT_CLASS,
+    NOT_IDEMPOTENT_CLASS,
+    SETTINGS,
+    GatewayHarness,
+    class_with_key_scope,
+    final_errors,
+    started_attempts,
+    tracked_endpoint,
+)
 
 OUTCOMES = tuple(Outcome)
 MAY_HAVE_RUN_OUTCOMES = tuple(outcome for outcome in OUTCOMES if not outcome.never_ran)
@@ -27,10 +39,10 @@
 
 def request_after(cls: RequestClass, outcome: Outcome | None) -> InFlightRequest:
     """Return a request whose only attempt, to b0 (zone a, cell 0), had this outcome, or is in flight if None."""
-    play = Play(replace(SETTINGS, classes=(cls,)))
-    sent = sends(play.ask(request_class=cls.name))[0]
+    play = GatewayHarness(replace(SETTINGS, classes=(cls,)))
+    sent = started_attempts(play.send_request(request_class=cls.name))[0]
     request = play.gateway.requests["r1"]
-    first_endpoint = server(FLEET[0], play.now)
+    first_endpoint = tracked_endpoint(FLEET[0], play.now)
     request.attempts = [Attempt(first_endpoint, play.now)]
     request.may_have_run = [] if outcome is not None and outcome.never_ran else [Attempt(first_endpoint, play.now)]
     if outcome is not None:
@@ -42,7 +54,13 @@
 @pytest.mark.parametrize("outcome", [*OUTCOMES, None])
 @pytest.mark.parametrize(
     "cls",
-    [SAFE, scoped(KeyScope.ALL), scoped(KeyScope.ZONE), scoped(KeyScope.CELL), UNSAFE],
+    [
+        IDEMPOTENT_CLASS,
+        class_with_key_scope(KeyScope.ALL),
+        class_with_key_scope(KeyScope.ZONE),
+        class_with_key_scope(KeyScope.CELL),
+        NOT_IDEMPOTENT_CLASS,
+    ],
     ids=["safe", "all", "zone", "cell", "unsafe"],
 )
 def test_which_endpoints_may_get_another_attempt_and_when_a_request_may_be_rejected(
@@ -51,7 +69,7 @@
     request = request_after(cls, outcome)
     proven = outcome is not None and outcome.never_ran
     settings = replace(SETTINGS, hedging_allowed=True)
-    allowed = {entry.id for entry in FLEET if request.may_attempt(server(entry, 100.0), 100.5, settings)}
+    allowed = {entry.id for entry in FLEET if request.may_attempt(tracked_endpoint(entry, 100.0), 100.5, settings)}
     all_endpoints = {entry.id for entry in FLEET}
     if proven or cls.idempotency is Idempotency.IDEMPOTENT:
         expected = all_endpoints
@@ -66,92 +84,92 @@
 
 
 def test_a_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
-    request = request_after(KEYED, Outcome.TIMEOUT)
-    first_endpoint = server(FLEET[0], 100.0)
-    assert request.may_attempt(first_endpoint, 100.0 + KEYED.deduplication_window - 0.1, SETTINGS)
-    assert not request.may_attempt(first_endpoint, 100.0 + KEYED.deduplication_window, SETTINGS)
+    request = request_after(IDEMPOTENCY_KEY_CLASS, Outcome.TIMEOUT)
+    first_endpoint = tracked_endpoint(FLEET[0], 100.0)
+    assert request.may_attempt(first_endpoint, 100.0 + IDEMPOTENCY_KEY_CLASS.deduplication_window - 0.1, SETTINGS)
+    assert not request.may_attempt(first_endpoint, 100.0 + IDEMPOTENCY_KEY_CLASS.deduplication_window, SETTINGS)
 
 
 def test_no_second_attempt_in_parallel_where_hedging_is_not_allowed() -> None:
-    assert not request_after(SAFE, None).may_attempt(server(FLEET[1], 100.0), 100.1, SETTINGS)
+    assert not request_after(IDEMPOTENT_CLASS, None).may_attempt(tracked_endpoint(FLEET[1], 100.0), 100.1, SETTINGS)
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
 def test_an_unsafe_request_that_may_have_run_fails_and_is_never_rejected(outcome: Outcome) -> None:
-    play = Play()
-    sent = sends(play.ask(request_class="pay"))[0]
-    after = play.end(sent, outcome, request_finished=outcome is Outcome.OK)
-    assert not sends(after)
+    play = GatewayHarness()
+    sent = started_attempts(play.send_request(request_class="pay"))[0]
+    after = play.end_attempt(sent, outcome, request_finished=outcome is Outcome.OK)
+    assert not started_attempts(after)
     assert not any(isinstance(a, RejectRequest) for a in after)
 
 
 def test_every_request_has_one_answer_when_all_attempts_fail() -> None:
-    play = Play(replace(SETTINGS, plans=(replace(BASIC, rate=1000.0, burst=1000.0),)))
+    play = GatewayHarness(replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=1000.0, burst=1000.0),)))
     for n in range(60):
         attempt = 0
-        sent = sends(play.ask(0.2, request_class=("read", "order", "pay")[n % 3]))
+        sent = started_attempts(play.send_request(0.2, request_class=("read", "order", "pay")[n % 3]))
         while sent:
-            sent = sends(play.end(sent[0], Outcome.RESET, 0.01, attempt=attempt))
+            sent = started_attempts(play.end_attempt(sent[0], Outcome.RESET, 0.01, attempt=attempt))
             attempt += 1
-    answered = [getattr(a, "request_id", "") for a in finals(play.actions)]
+    answered = [getattr(a, "request_id", "") for a in final_errors(play.actions)]
     assert sorted(answered) == sorted({f"r{n}" for n in range(1, 61)})
     assert not play.gateway.requests
 
 
 def test_the_timeout_at_the_deadline_leads_to_the_final_answer() -> None:
-    play = Play()
-    sent = sends(play.ask(time_left=2.0))[0]
+    play = GatewayHarness()
+    sent = started_attempts(play.send_request(time_left=2.0))[0]
     assert sent.timeout == pytest.approx(2.0)
-    assert len(finals(play.end(sent, Outcome.TIMEOUT, 2.0))) == 1
+    assert len(final_errors(play.end_attempt(sent, Outcome.TIMEOUT, 2.0))) == 1
 
 
 def test_nothing_is_sent_for_a_finished_request() -> None:
-    play = Play()
-    sent = sends(play.ask())[0]
-    assert play.at(0.1, ClientDisconnected("r1")) == []
-    assert play.at(0.1, ClientDisconnected("r1")) == []
-    assert play.end(sent, Outcome.CONNECT_FAILED) == []
-    assert play.at(0.0, AttemptEnded("unknown", 0, "b0", Outcome.OK)) == []
+    play = GatewayHarness()
+    sent = started_attempts(play.send_request())[0]
+    assert play.handle_after(0.1, ClientDisconnected("r1")) == []
+    assert play.handle_after(0.1, ClientDisconnected("r1")) == []
+    assert play.end_attempt(sent, Outcome.CONNECT_FAILED) == []
+    assert play.handle_after(0.0, AttemptEnded("unknown", 0, "b0", Outcome.OK)) == []
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
 def test_a_draining_or_removed_endpoint_gets_no_more_requests(readiness: Readiness) -> None:
-    play = Play()
+    play = GatewayHarness()
     leaving = tuple(replace(entry, readiness=readiness) for entry in FLEET[:3])
-    play.at(0.0, EndpointsChanged(EndpointListKind.UPDATE, leaving))
-    targets = {s.endpoint_id for _ in range(12) for s in sends(play.ask(0.5))}
+    play.handle_after(0.0, EndpointsChanged(EndpointListKind.UPDATE, leaving))
+    targets = {s.endpoint_id for _ in range(12) for s in started_attempts(play.send_request(0.5))}
     assert targets == {"b3"}
 
 
 def test_an_endpoint_missing_from_a_complete_list_is_removed_and_a_returning_one_is_used() -> None:
-    play = Play()
-    play.at(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[:1]))
-    assert {s.endpoint_id for _ in range(6) for s in sends(play.ask(0.5))} == {"b0"}
-    play.at(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[1:2]))
-    assert {s.endpoint_id for s in sends(play.ask(0.5))} == {"b1"}
+    play = GatewayHarness()
+    play.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[:1]))
+    assert {s.endpoint_id for _ in range(6) for s in started_attempts(play.send_request(0.5))} == {"b0"}
+    play.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[1:2]))
+    assert {s.endpoint_id for s in started_attempts(play.send_request(0.5))} == {"b1"}
 
 
 def test_requests_are_rejected_immediately_if_the_endpoint_list_is_empty() -> None:
-    play = Play(fleet=())
-    assert isinstance(play.ask()[-1], RejectRequest)
+    play = GatewayHarness(fleet=())
+    assert isinstance(play.send_request()[-1], RejectRequest)
 
 
-def times_sent_to_cold_endpoint(play: Play, seconds: float, interval: float) -> list[float]:
+def times_sent_to_cold_endpoint(play: GatewayHarness, seconds: float, interval: float) -> list[float]:
     times = []
     while seconds > 0:
-        for sent in sends(play.ask(interval, customer=f"c{play.count % 200}")):
+        for sent in started_attempts(play.send_request(interval, customer=f"c{play.request_count % 200}")):
             if sent.endpoint_id == "cold":
                 times.append(play.now)
-            play.end(sent, Outcome.OK, 0.001)
+            play.end_attempt(sent, Outcome.OK, 0.001)
         seconds -= interval
     return times
 
 
 def test_a_cold_endpoint_gets_a_share_of_the_load_of_a_warm_one() -> None:
-    play = Play()
+    play = GatewayHarness()
     times_sent_to_cold_endpoint(play, 30.0, 0.05)
     warm_rate = 20.0 / len(FLEET)
-    play.at(0.0, EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("cold", "a", started_at=play.now),)))
+    play.handle_after(0.0, EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("cold", "a", started_at=play.now),)))
     times = times_sent_to_cold_endpoint(play, SETTINGS.overload_window * 2, 0.05)
     # Relative to a warm endpoint, this gateway may send the initial capacity times the overload factor; within two
     # overload windows the capacity grows by up to 0.16.
@@ -166,7 +184,7 @@
 
 
 def test_a_new_gateway_with_only_cold_endpoints_sends_few_requests_but_some() -> None:
-    play = Play(fleet=(Endpoint("cold", "a", started_at=100.0),))
+    play = GatewayHarness(fleet=(Endpoint("cold", "a", started_at=100.0),))
     times = times_sent_to_cold_endpoint(play, 6.0, 0.02)
     assert 1 <= len(times) <= 6 * SETTINGS.overload_factor * SETTINGS.slow_start_initial_capacity
 
@@ -175,53 +193,55 @@
 
 
 def test_the_ceiling_slice_is_empty_in_a_new_process_and_is_never_exceeded() -> None:
-    play = Play(replace(SETTINGS, plans=(CAPPED,)))
+    play = GatewayHarness(replace(SETTINGS, plans=(CAPPED,)))
     passed = 0
     for _ in range(200):
-        attempts = sends(play.ask(0.02))
+        attempts = started_attempts(play.send_request(0.02))
         passed += len(attempts)
         for sent in attempts:
-            play.end(sent, Outcome.OK, 0.001)
+            play.end_attempt(sent, Outcome.OK, 0.001)
     assert passed <= CAPPED.ceiling_rate / 2 * (play.now - 100.0)
 
 
 def test_another_gateway_count_or_a_long_pause_does_not_refill_a_ceiling() -> None:
     slow = replace(CAPPED, rate=100.0, burst=100.0, ceiling_rate=0.02, ceiling_burst=8.0)
-    play = Play(replace(SETTINGS, plans=(slow,)))
+    play = GatewayHarness(replace(SETTINGS, plans=(slow,)))
     play.now += 10000.0
     passed = 0
     for n in range(300):
         if n % 20 == 0:
-            play.at(65.0 if n == 100 else 0.0, TimerFired(0))
-        attempts = sends(play.ask(0.0, gateway_count=2 + n % 2))
+            play.handle_after(65.0 if n == 100 else 0.0, TimerFired(0))
+        attempts = started_attempts(play.send_request(0.0, gateway_count=2 + n % 2))
         passed += len(attempts)
         for sent in attempts:
-            play.end(sent, Outcome.OK, 0.001)
+            play.end_attempt(sent, Outcome.OK, 0.001)
     assert passed <= 8.0 / 2 + 0.02 * 100
 
 
 def test_failed_discovery_calls_do_not_multiply_subscriptions() -> None:
-    play = Play(replace(SETTINGS, polls_discovery=True, discovery_poll_deadline=10.0))
+    play = GatewayHarness(replace(SETTINGS, polls_discovery=True, discovery_poll_deadline=10.0))
     assert sum(isinstance(a, WatchEndpoints) for a in play.actions) == 1
     for _ in range(10):
-        play.at(0.01, EndpointsChanged(EndpointListKind.UNAVAILABLE))
+        play.handle_after(0.01, EndpointsChanged(EndpointListKind.UNAVAILABLE))
     assert sum(isinstance(a, SetTimer) and a.token == 1 for a in play.actions) == 1
-    play.at(3.0, TimerFired(1))
+    play.handle_after(3.0, TimerFired(1))
     assert sum(isinstance(a, WatchEndpoints) for a in play.actions) == 2
-    assert sends(play.ask())  # the previous list still applies
+    assert started_attempts(play.send_request())  # the previous list still applies
 
 
 def test_the_slow_start_budget_counts_work() -> None:
-    play = Play()
+    play = GatewayHarness()
     latencies = play.gateway.cluster.latencies
     latencies.mean_latencies = {"read": 0.1, "order": 0.1, "pay": 0.4}
-    assert sends(play.ask(request_class="pay"))
+    assert started_attempts(play.send_request(request_class="pay"))
     request = play.gateway.requests["r1"]
     assert latencies.relative_work(request.request_class, request.units) == pytest.approx(2.0)
 
 
 def test_hundreds_of_gateways_together_use_a_cold_endpoint_without_overloading_it() -> None:
-    many = replace(SETTINGS, gateway_count=200, slow_start_duration=10.0, plans=(replace(BASIC, rate=1e4, burst=1e5),))
+    many = replace(
+        SETTINGS, gateway_count=200, slow_start_duration=10.0, plans=(replace(BASIC_PLAN, rate=1e4, burst=1e5),)
+    )
     fleet = tuple(Endpoint(f"b{n}") for n in range(20))
     times: list[float] = []
     interval = 0.5  # seconds between requests of one gateway: in all 400 per second, 20 at each warm endpoint
@@ -233,7 +253,7 @@
             now += interval
             if n == 50:
                 gateway.handle(now, EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("cold", started_at=now),)))
-            for sent in sends(gateway.handle(now, RequestReceived(f"r{n}", "read", "basic", "c", 4.0))):
+            for sent in started_attempts(gateway.handle(now, RequestReceived(f"r{n}", "read", "basic", "c", 4.0))):
                 times += [now] if sent.endpoint_id == "cold" else []
                 gateway.handle(now + 0.1, AttemptEnded(sent.request_id, 0, sent.endpoint_id, Outcome.OK, 0.1, True))
     start = min(times)
@@ -259,8 +279,8 @@
             gateway.handle(100.0, EndpointsChanged(EndpointListKind.RESTORED, listed))
             gateway.cluster.slow_start.work_rate = work_rate
             gateway.cluster.slow_start.work_rate_at = 100.0
-            play = Play(SETTINGS)
-            play.ask()
+            play = GatewayHarness(SETTINGS)
+            play.send_request()
             server = gateway.cluster.endpoints.by_id[cold.id]
             request = play.gateway.requests["r1"]
             work = gateway.cluster.latencies.relative_work(request.request_class, request.units)
@@ -274,9 +294,9 @@
 
 
 def test_the_time_that_a_request_waited_before_it_was_read_shortens_the_attempt() -> None:
-    play = Play()
-    [send] = sends(play.ask(time_waited=1.5))
+    play = GatewayHarness()
+    [send] = started_attempts(play.send_request(time_waited=1.5))
     assert send.timeout == 2.5  # of 4 s
     # The client is no longer waiting, so nothing is sent.
-    assert [action for action in finals(play.ask(time_waited=4.0)) if isinstance(action, RejectRequest)]
-    assert not sends(play.ask(time_waited=5.0))
+    assert [action for action in final_errors(play.send_request(time_waited=4.0)) if isinstance(action, RejectRequest)]
+    assert not started_attempts(play.send_request(time_waited=5.0))
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -18,29 +18,29 @@
 from ingress.decisions.subsetting import SUBSET_SIZE
 from ingress.decisions.timers import TimerToken
 
-from .conftest import BASIC, SAFE, SETTINGS, Play, finals, sends
+from .conftest import BASIC_PLAN, IDEMPOTENT_CLASS, SETTINGS, GatewayHarness, final_errors, started_attempts
 
 FIXED = replace(SETTINGS, gateway_count=1, slow_start_duration=0.0)
 
 
-def change(play: Play, *plans: Plan, **more: Any) -> None:
-    play.at(0.0, SettingsChanged(replace(play.gateway.settings, plans=plans, **more)))
+def change(play: GatewayHarness, *plans: Plan, **more: Any) -> None:
+    play.handle_after(0.0, SettingsChanged(replace(play.gateway.settings, plans=plans, **more)))
 
 
-def spend(play: Play, most: int = 1000) -> int:
+def spend(play: GatewayHarness, most: int = 1000) -> int:
     """Asks until it is refused; how many were sent on."""
     count = 0
     while count < most:
-        sent = sends(play.ask(gateway_count=1))
+        sent = started_attempts(play.send_request(gateway_count=1))
         if not sent:
             break
         count += 1
-        play.end(sent[0], after=0.0)
+        play.end_attempt(sent[0], after=0.0)
     return count
 
 
-def play_of(*plans: Plan) -> Play:
-    return Play(replace(FIXED, plans=plans))
+def play_of(*plans: Plan) -> GatewayHarness:
+    return GatewayHarness(replace(FIXED, plans=plans))
 
 
 def test_a_change_to_and_fro_hands_out_no_burst() -> None:
@@ -118,7 +118,7 @@
     play = play_of(plan, other)
     assert spend(play) == 10
     change(play, other)
-    assert finals(play.ask(gateway_count=1)) == [FailRequest(f"r{play.count}", "unknown")]
+    assert final_errors(play.send_request(gateway_count=1)) == [FailRequest(f"r{play.request_count}", "unknown")]
     change(play, plan, other)
     assert spend(play) == 0
 
@@ -126,46 +126,53 @@
 def test_the_state_of_a_plan_that_is_gone_is_let_go_once_it_has_refilled() -> None:
     play = play_of(Plan("basic", rate=1.0, burst=10.0), Plan("other", rate=1.0, burst=1.0))
     for n in range(20):
-        [send] = sends(play.ask(customer=f"c{n}"))
-        play.end(send)
+        [send] = started_attempts(play.send_request(customer=f"c{n}"))
+        play.end_attempt(send)
     change(play, Plan("other", rate=1.0, burst=1.0))
-    play.at(CUSTOMER_IDLE_TIMEOUT_S + 30.0, TimerFired(TimerToken.CLEANUP))
+    play.handle_after(CUSTOMER_IDLE_TIMEOUT_S + 30.0, TimerFired(TimerToken.CLEANUP))
     assert not play.gateway.customers
 
 
 def test_open_requests_keep_the_class_plan_and_deadline_they_came_with() -> None:
-    play = play_of(BASIC)
-    [first] = sends(play.ask(gateway_count=1))
+    play = play_of(BASIC_PLAN)
+    [first] = started_attempts(play.send_request(gateway_count=1))
     request = play.gateway.requests[first.request_id]
     change(
         play, Plan("other", rate=1.0, burst=1.0), classes=(RequestClass("other", latency_objective=0.1, deadline=0.2),)
     )
-    assert (request.request_class, request.plan, request.deadline) == (SAFE, BASIC, 104.0)
+    assert (request.request_class, request.plan, request.deadline) == (IDEMPOTENT_CLASS, BASIC_PLAN, 104.0)
     play.gateway.forwarder.retry_budget.level = 5.0
-    [again] = sends(play.end(first, Outcome.CONNECT_FAILED, after=0.5))  # more than the new deadline allows
+    [again] = started_attempts(
+        play.end_attempt(first, Outcome.CONNECT_FAILED, after=0.5)
+    )  # more than the new deadline allows
     assert again.request_id == first.request_id
-    assert play.end(again, attempt=1) == [] and not play.gateway.requests
+    assert play.end_attempt(again, attempt=1) == [] and not play.gateway.requests
     assert play.gateway.customers["c"].concurrency.in_flight == 0
-    assert finals(play.at(0.0, RequestReceived("late", "read", "basic", "c", 1.0))) == [FailRequest("late", "unknown")]
+    assert final_errors(play.handle_after(0.0, RequestReceived("late", "read", "basic", "c", 1.0))) == [
+        FailRequest("late", "unknown")
+    ]
 
 
 def test_a_cap_on_open_attempts_changes_for_those_that_come() -> None:
     play = play_of(Plan("basic", rate=1000.0, burst=1000.0, concurrency_limit=3))
-    assert len([s for _ in range(5) for s in sends(play.ask(gateway_count=1))]) == 3
+    assert len([s for _ in range(5) for s in started_attempts(play.send_request(gateway_count=1))]) == 3
     change(play, Plan("basic", rate=1000.0, burst=1000.0, concurrency_limit=2))
-    assert not sends(play.ask(gateway_count=1)) and play.gateway.customers["c"].concurrency.in_flight == 3
+    assert (
+        not started_attempts(play.send_request(gateway_count=1))
+        and play.gateway.customers["c"].concurrency.in_flight == 3
+    )
 
 
 def test_what_the_settings_say_of_the_fleet_changes_too() -> None:
-    play = Play(FIXED)
+    play = GatewayHarness(FIXED)
     outliers = play.gateway.cluster.outliers
     assert outliers.health_checks.interval == pytest.approx(0.25)
-    actions = play.at(
+    actions = play.handle_after(
         0.0,
         SettingsChanged(
             replace(
                 FIXED,
-                classes=(replace(SAFE, latency_objective=3.0),),
+                classes=(replace(IDEMPOTENT_CLASS, latency_objective=3.0),),
                 gateway_count=100,
                 gateway_index=7,
                 health_check_cost=0.01,
@@ -181,10 +188,10 @@
 
 
 def test_the_same_settings_again_change_nothing() -> None:
-    play = Play(FIXED)
+    play = GatewayHarness(FIXED)
     spend(play, 3)
     before = play.gateway.handover_state(play.now)
-    assert play.at(0.0, SettingsChanged(FIXED)) == []
+    assert play.handle_after(0.0, SettingsChanged(FIXED)) == []
     assert play.gateway.handover_state(play.now) == before
 
 
@@ -195,7 +202,7 @@
     change(old, replace(plan, ceiling_rate=20.0))
     new = play_of(replace(plan, ceiling_rate=20.0))
     new.now = old.now
-    new.at(0.0, old.gateway.handover_state(old.now))
+    new.handle_after(0.0, old.gateway.handover_state(old.now))
     assert spend(new) == 10  # not 200: the rate is new
 
 
@@ -246,7 +253,7 @@
             assert isinstance(value, float)
             play.now += value
             quota, ceiling = quota + current.rate * value, ceiling + current.ceiling_rate * value
-            play.at(0.0, TimerFired(TimerToken.CLEANUP))
+            play.handle_after(0.0, TimerFired(TimerToken.CLEANUP))
         elif step == "ask":
             assert isinstance(value, int)
             sent += spend(play, value)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -12,90 +12,92 @@
 from ingress.decisions.handover_state import QuotaUsage
 from ingress.decisions.settings import Plan
 from ingress.decisions.timers import TimerToken
-from tests.conftest import BASIC, FLEET, SETTINGS, Play, sends
+from tests.conftest import BASIC_PLAN, FLEET, SETTINGS, GatewayHarness, started_attempts
 
 
 def shared_usage(actions: list[Action]) -> list[QuotaUsage]:
     return [action.usage for action in actions if isinstance(action, ShareUsage)]
 
 
-def successor_of(old: Play, play: Play | None = None) -> Play:
-    play = play or Play(old.gateway.settings)
+def successor_of(old: GatewayHarness, play: GatewayHarness | None = None) -> GatewayHarness:
+    play = play or GatewayHarness(old.gateway.settings)
     play.now = old.now
-    play.at(0.0, old.gateway.handover_state(old.now))
+    play.handle_after(0.0, old.gateway.handover_state(old.now))
     return play
 
 
 def test_a_successor_grants_no_second_burst() -> None:
-    old = Play()
+    old = GatewayHarness()
     for _ in range(5):  # the slice: burst 8 divided by 2 gateways, plus one request
-        [send] = sends(old.ask(units=1.0))
-        old.end(send, after=0.0)
+        [send] = started_attempts(old.send_request(units=1.0))
+        old.end_attempt(send, after=0.0)
     new = successor_of(old)
-    assert not sends(new.ask(0.0))
-    assert sends(new.ask(1.0))  # refills 1 unit per second: rate 2 divided by 2 gateways
-    assert sends(successor_of(old).ask(0.0, customer="another"))
+    assert not started_attempts(new.send_request(0.0))
+    assert started_attempts(new.send_request(1.0))  # refills 1 unit per second: rate 2 divided by 2 gateways
+    assert started_attempts(successor_of(old).send_request(0.0, customer="another"))
 
 
 def test_a_successor_inherits_the_levels_of_the_ceilings() -> None:
-    plan = replace(BASIC, ceiling_rate=1.0, ceiling_burst=8.0)
-    old = Play(replace(SETTINGS, plans=(plan,)))
+    plan = replace(BASIC_PLAN, ceiling_rate=1.0, ceiling_burst=8.0)
+    old = GatewayHarness(replace(SETTINGS, plans=(plan,)))
     old.now += 1000.0  # long enough for every ceiling to be full
-    [send] = sends(old.ask())
-    old.end(send, after=0.0)
+    [send] = started_attempts(old.send_request())
+    old.end_attempt(send, after=0.0)
     new = successor_of(old)
     assert new.gateway.customers["c"].ceiling.level == 3.0
-    assert sends(new.ask(0.0, customer="unseen"))  # its ceiling is full: the customer was dropped or never seen
+    assert started_attempts(
+        new.send_request(0.0, customer="unseen")
+    )  # its ceiling is full: the customer was dropped or never seen
 
 
 def test_each_process_reports_its_usage_and_the_other_applies_it() -> None:
-    one = Play()
-    other = Play()
-    one.at(0.0, ProcessGroupChanged(1))
-    actions = one.ask()
-    [send] = sends(actions)
+    one = GatewayHarness()
+    other = GatewayHarness()
+    one.handle_after(0.0, ProcessGroupChanged(1))
+    actions = one.send_request()
+    [send] = started_attempts(actions)
     [usage] = shared_usage(actions)
     assert (usage.customer, usage.units, usage.within_quota, usage.attempts_delta) == ("c", 1.0, True, 1)
-    other.at(0.0, ProcessGroupChanged(1))
-    other.at(0.0, usage)
+    other.handle_after(0.0, ProcessGroupChanged(1))
+    other.handle_after(0.0, usage)
     customer = other.gateway.customers["c"]
     assert customer.slice.level == 4.0 and customer.concurrency.in_flight_elsewhere == 1
-    [ended] = shared_usage(one.end(send))
-    other.at(0.0, ended)
+    [ended] = shared_usage(one.end_attempt(send))
+    other.handle_after(0.0, ended)
     assert customer.slice.level == 4.0 and customer.concurrency.in_flight_elsewhere == 0
 
 
 def test_a_single_process_reports_no_usage() -> None:
-    assert not shared_usage(Play().ask())
+    assert not shared_usage(GatewayHarness().send_request())
 
 
 def test_a_concurrency_limit_applies_to_both_processes_together() -> None:
     plan = Plan("basic", rate=100.0, burst=100.0, concurrency_limit=2, over_quota_cost=0.5)
-    play = Play(replace(SETTINGS, plans=(plan,)))  # one attempt for each gateway
-    play.at(0.0, ProcessGroupChanged(1))
-    play.at(0.0, QuotaUsage("c", "basic", 2, 1.0, True, 1))
-    assert not sends(play.ask())
-    play.at(0.0, ProcessGroupChanged(0))  # the other process has ended, and its attempts with it
-    assert sends(play.ask())
+    play = GatewayHarness(replace(SETTINGS, plans=(plan,)))  # one attempt for each gateway
+    play.handle_after(0.0, ProcessGroupChanged(1))
+    play.handle_after(0.0, QuotaUsage("c", "basic", 2, 1.0, True, 1))
+    assert not started_attempts(play.send_request())
+    play.handle_after(0.0, ProcessGroupChanged(0))  # the other process has ended, and its attempts with it
+    assert started_attempts(play.send_request())
 
 
 def test_a_slow_start_budget_applies_to_both_processes_together() -> None:
     fleet = (Endpoint("cold", started_at=99.0),)
-    play = Play(fleet=fleet)
-    other = Play(fleet=fleet)
+    play = GatewayHarness(fleet=fleet)
+    other = GatewayHarness(fleet=fleet)
     play.gateway.cluster.endpoints.by_id["cold"].slow_start_budget.level = 1.0
     other.gateway.cluster.endpoints.by_id["cold"].slow_start_budget.level = 1.0
-    play.at(0.0, ProcessGroupChanged(1))
-    [usage] = shared_usage(play.ask())
+    play.handle_after(0.0, ProcessGroupChanged(1))
+    [usage] = shared_usage(play.send_request())
     assert usage.endpoint_id == "cold" and usage.slow_start_work > 0
-    other.at(0.0, usage)
-    assert not sends(other.ask())
+    other.handle_after(0.0, usage)
+    assert not started_attempts(other.send_request())
 
 
 def test_a_successor_inherits_the_health_of_the_endpoints() -> None:
-    old = Play()
-    [send] = sends(old.ask())
-    old.end(send, Outcome.CONNECT_FAILED)
+    old = GatewayHarness()
+    [send] = started_attempts(old.send_request())
+    old.end_attempt(send, Outcome.CONNECT_FAILED)
     ejected = old.gateway.cluster.endpoints.by_id["b0" if send.endpoint_id != "b0" else "b1"]
     for _ in range(6):
         old.gateway.cluster.outliers.record_failure(ejected.health, old.now, Outcome.ERROR)
@@ -109,35 +111,37 @@
 
 
 def test_a_successor_of_a_process_with_another_format_of_health_starts_without_health_data() -> None:
-    old = Play()
+    old = GatewayHarness()
     state = old.gateway.handover_state(old.now)
-    new = Play()
-    new.at(0.0, replace(state, endpoints=tuple(replace(endpoint, health=None) for endpoint in state.endpoints)))
+    new = GatewayHarness()
+    new.handle_after(
+        0.0, replace(state, endpoints=tuple(replace(endpoint, health=None) for endpoint in state.endpoints))
+    )
     assert new.gateway.cluster.load_balancer.avoided_count(new.now) == 0
 
 
 def test_a_successor_does_not_apply_health_data_to_an_endpoint_that_has_restarted_since() -> None:
-    old = Play()
+    old = GatewayHarness()
     for server in old.gateway.cluster.endpoints.by_id.values():
         server.health.paused_until = old.now + 9.0
-    new = Play(fleet=(Endpoint("b0", started_at=99.0), *FLEET[1:]))
-    new.at(0.0, old.gateway.handover_state(old.now))
+    new = GatewayHarness(fleet=(Endpoint("b0", started_at=99.0), *FLEET[1:]))
+    new.handle_after(0.0, old.gateway.handover_state(old.now))
     assert not new.gateway.cluster.endpoints.by_id["b0"].avoided(new.now)
     assert new.gateway.cluster.endpoints.by_id["b1"].avoided(new.now)
 
 
 def test_with_a_successor_the_load_balancer_need_not_be_notified_before_the_process_exits() -> None:
-    play = Play()
-    play.at(0.0, ProcessGroupChanged(1, has_successor=True))
-    assert play.at(0.0, DrainRequested(process_exits=True)) == [CloseIdleClients(True)]
+    play = GatewayHarness()
+    play.handle_after(0.0, ProcessGroupChanged(1, has_successor=True))
+    assert play.handle_after(0.0, DrainRequested(process_exits=True)) == [CloseIdleClients(True)]
 
 
 def test_a_drain_by_an_operator_is_inherited_and_one_before_an_exit_is_not() -> None:
-    old = Play()
-    old.at(0.0, DrainRequested())
+    old = GatewayHarness()
+    old.handle_after(0.0, DrainRequested())
     new = successor_of(old)
     assert SetReadiness(False) in new.actions
-    assert new.at(READINESS_PROPAGATION_DELAY_S, TimerFired(TimerToken.DRAINED)) == [CloseIdleClients(True)]
-    exiting = Play()
-    exiting.at(0.0, DrainRequested(process_exits=True))
+    assert new.handle_after(READINESS_PROPAGATION_DELAY_S, TimerFired(TimerToken.DRAINED)) == [CloseIdleClients(True)]
+    exiting = GatewayHarness()
+    exiting.handle_after(0.0, DrainRequested(process_exits=True))
     assert SetReadiness(False) not in successor_of(exiting).actions
