--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -19,7 +19,7 @@
 from ingress.decisions.gateway import Gateway
 from ingress.decisions.settings import Idempotency, KeyScope, Plan, RequestClass, Settings
 from tests.known_red import load_known_red
-from tests.peers import STARTED
+from tests.peers import STARTED_PROCESSES
 
 KNOWN_FAILURES = {known.test: known for known in load_known_red()}
 
@@ -59,8 +59,8 @@
 @pytest.fixture(autouse=True)
 def kill_started_processes() -> Iterator[None]:
     yield
-    while STARTED:
-        child = STARTED.pop()
+    while STARTED_PROCESSES:
+        child = STARTED_PROCESSES.pop()
         if child.returncode is None:
             with contextlib.suppress(ProcessLookupError):
                 os.kill(child.pid, signal.SIGKILL)
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -15,30 +15,30 @@
 from ingress.configuration.document import Config, read_config
 from ingress.ingress import Ingress
 
-LIMIT = 20.0  # s after which a test is stuck
+TEST_TIMEOUT_S = 20.0  # s after which a test is stuck
 Address = tuple[str, int]
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 
 
-def run(body: Coroutine[Any, Any, None]) -> None:
-    uvloop.run(asyncio.wait_for(body, LIMIT))
+def run_async(body: Coroutine[Any, Any, None]) -> None:
+    uvloop.run(asyncio.wait_for(body, TEST_TIMEOUT_S))
 
 
-async def until(true: Callable[[], object]) -> None:
+async def wait_until(true: Callable[[], object]) -> None:
     """Waits for something that the program under test does on its own."""
     while not true():
         await asyncio.sleep(0.002)
 
 
-STARTED: list[asyncio.subprocess.Process] = []  # ended after each test, whatever it says
+STARTED_PROCESSES: list[asyncio.subprocess.Process] = []  # ended after each test, whatever it says
 
 
 class Peer:
     """A server; `script` plays each of its connections, given the connection's number."""
 
     def __init__(self, script: Callable[[int, Reader, Writer], Awaitable[None]]) -> None:
-        self.script, self.connections, self.ended = script, 0, 0
+        self.script, self.connections, self.ended_connections = script, 0, 0
         self.commands: list[list[bytes]] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -62,7 +62,7 @@
         except (ConnectionError, asyncio.IncompleteReadError):
             pass
         finally:
-            self.ended += 1
+            self.ended_connections += 1
             self.tasks.discard(task)
             writer.close()
 
@@ -76,19 +76,19 @@
     return words
 
 
-def value(text: bytes) -> bytes:
+def endpoint_answer(text: bytes) -> bytes:
     """A backend's answer."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(text), text)
 
 
-def backend(answer: bytes | None = None) -> Peer:
+def fake_endpoint(answer: bytes | None = None) -> Peer:
     """Answers each command with `answer`, or with its id; b"" stands for silence."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
             words = await read_command(reader)
             peer.commands.append(words)
-            writer.write(value(words[2]) if answer is None else answer)
+            writer.write(endpoint_answer(words[2]) if answer is None else answer)
 
     peer = Peer(script)
     return peer
@@ -114,17 +114,17 @@
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
-class Caller:
+class RespClient:
     """A client's connection."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader, self.writer, self.parser = reader, writer, hiredis.Reader(notEnoughData=self)
 
     @classmethod
-    async def to(cls, address: Address) -> Self:
+    async def connect(cls, address: Address) -> Self:
         return cls(*await asyncio.open_connection(*address))
 
-    async def answer(self) -> Any:
+    async def read_answer(self) -> Any:
         while (found := self.parser.gets()) is self:
             data = await self.reader.read(1 << 16)
             if not data:
@@ -132,9 +132,9 @@
             self.parser.feed(data)
         return found
 
-    async def ask(self, data: bytes) -> Any:
+    async def request(self, data: bytes) -> Any:
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_answer()
 
 
 SETTINGS: dict[str, Any] = {
@@ -161,7 +161,7 @@
 }
 
 
-def entry(address: Address, name: str = "s1", state: str = "ready", started: int = 0) -> dict[str, Any]:
+def endpoint_entry(address: Address, name: str = "s1", state: str = "ready", started: int = 0) -> dict[str, Any]:
     return {
         "id": name,
         "addr": f"{address[0]}:{address[1]}",
--- a/tests/test_checkpoint.py
+++ b/tests/test_checkpoint.py
@@ -44,7 +44,7 @@
 from ingress.ingress import Ingress
 from ingress.runtime.clock import unix_clock
 from tests.conftest import BASIC_PLAN, FLEET, SETTINGS
-from tests.peers import Caller, backend, command, config, entry, run, until
+from tests.peers import RespClient, command, config, endpoint_entry, fake_endpoint, run_async, wait_until
 from tests.test_net_handover import SMALL_BURST_SETTINGS
 from tests.test_net_members import IngressProcesses, ask
 
@@ -137,7 +137,7 @@
         assert "after a clean shutdown" in four.recovered.summary and round(four.level(), 2) == FULL_SLICE_UNITS - 5
         four.die()
 
-    run(body())
+    run_async(body())
 
 
 def test_buckets_refill_while_no_process_runs_and_no_ceiling_is_raised(tmp_path: Path) -> None:
@@ -160,7 +160,7 @@
         assert 3.9 < customer.slice_level < 4.2  # 5, less two, and one in a second
         assert 0.2 < customer.ceiling_level < 0.35  # 2, less two, and a quarter
 
-    run(body())
+    run_async(body())
 
 
 def run_process(body: Callable[[Path], Awaitable[Process]], folder: Path) -> tuple[Process, CheckpointFiles]:
@@ -261,7 +261,7 @@
         assert "n0.snapshot: the file is missing" in two.recovered.summary
         assert two.level("c") < 0.1 and two.level("unseen") < 0.1
 
-    run(body())
+    run_async(body())
 
 
 def test_after_a_reboot_buckets_contain_what_has_refilled_since(tmp_path: Path) -> None:
@@ -451,22 +451,22 @@
 
         monkeypatch.setattr(one.checkpoint_writer.files, "replace_file", replace_file_slowly)
         one.checkpoint_writer.start()
-        await until(begun.is_set)
+        await wait_until(begun.is_set)
         one.spend()
         await one.checkpoint_writer.close(clean=True)
-        await until(written.is_set)
+        await wait_until(written.is_set)
         two = Process(tmp_path)
         assert "after a clean shutdown" in two.recovered.summary and round(two.level(), 2) == FULL_SLICE_UNITS - 2
         two.die()
 
-    run(body())
+    run_async(body())
 
 
 def test_one_process_writes_and_the_other_waits_for_the_lock(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             settings = config(
-                *(entry(peer.address, f"s{n}") for n in range(4)),
+                *(endpoint_entry(peer.address, f"s{n}") for n in range(4)),
                 settings=SMALL_BURST_SETTINGS,
                 checkpoint={"folder": str(tmp_path), "every_s": 0.1},
             )
@@ -474,11 +474,11 @@
             first, second = Ingress(settings), Ingress(settings)
             stops = asyncio.Event(), asyncio.Event()
             tasks = [asyncio.create_task(first.run(stops[0]))]
-            await until(lambda: first.checkpoint_writer and first.checkpoint_writer.snapshots_written)
+            await wait_until(lambda: first.checkpoint_writer and first.checkpoint_writer.snapshots_written)
             tasks.append(asyncio.create_task(second.run(stops[1])))
-            await until(lambda: second.checkpoint_writer and second.checkpoint_writer.task)
-            caller = await Caller.to(second.clients.listening_socket.getsockname())
-            assert await caller.ask(command()) == b"00000000000000aa"
+            await wait_until(lambda: second.checkpoint_writer and second.checkpoint_writer.task)
+            caller = await RespClient.connect(second.clients.listening_socket.getsockname())
+            assert await caller.request(command()) == b"00000000000000aa"
             assert (
                 second.checkpoint_writer
                 and second.checkpoint_writer.lock_descriptor < 0
@@ -486,7 +486,7 @@
             )
             stops[0].set()
             await tasks[0]
-            await until(lambda: second.checkpoint_writer and second.checkpoint_writer.snapshots_written)
+            await wait_until(lambda: second.checkpoint_writer and second.checkpoint_writer.snapshots_written)
             assert second.recovery.persisting
             stops[1].set()
             await tasks[1]
@@ -495,35 +495,35 @@
                 "1 customers"
             ), lock
 
-    run(body())
+    run_async(body())
 
 
 def test_a_failing_disk_is_counted_and_requests_continue(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             ingress = Ingress(
                 config(
-                    *(entry(peer.address, f"s{n}") for n in range(4)),
+                    *(endpoint_entry(peer.address, f"s{n}") for n in range(4)),
                     settings=SMALL_BURST_SETTINGS,
                     checkpoint={"folder": str(tmp_path), "every_s": 0.1},
                 )
             )
             stop = asyncio.Event()
             task = asyncio.create_task(ingress.run(stop))
-            await until(lambda: ingress.checkpoint_writer and ingress.checkpoint_writer.snapshots_written)
+            await wait_until(lambda: ingress.checkpoint_writer and ingress.checkpoint_writer.snapshots_written)
             assert ingress.checkpoint_writer
             os.close(ingress.checkpoint_writer.log_descriptor)  # the disk fails
             ingress.checkpoint_writer.log_descriptor = os.open("/dev/full", os.O_WRONLY)
-            caller = await Caller.to(ingress.clients.listening_socket.getsockname())
-            assert await caller.ask(command()) == b"00000000000000aa"
+            caller = await RespClient.connect(ingress.clients.listening_socket.getsockname())
+            assert await caller.request(command()) == b"00000000000000aa"
             assert (
                 ingress.checkpoint_writer.failure_count == 1 and not ingress.checkpoint_writer.files.snapshot.exists()
             )
             before = ingress.checkpoint_writer.snapshots_written
-            await until(
+            await wait_until(
                 lambda: ingress.checkpoint_writer and ingress.checkpoint_writer.snapshots_written > before
             )  # the disk works again
-            assert await caller.ask(command()) == b"00000000000000aa"
+            assert await caller.request(command()) == b"00000000000000aa"
             assert ingress.checkpoint_writer.records_written >= 1 and ingress.recovery.persisting
             stop.set()
             await task
@@ -531,12 +531,12 @@
                 "1 customers"
             )
 
-    run(body())
+    run_async(body())
 
 
 def test_a_killed_real_process_leaves_no_second_burst(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             checkpoint_config = {"folder": str(tmp_path / "kept"), "every_s": 0.2}
             for checkpoint, expected in ((None, [True] * 4), (checkpoint_config, [False] * 4)):
                 folder = tmp_path / str(bool(checkpoint))
@@ -544,49 +544,49 @@
                 options = {"checkpoint": checkpoint} if checkpoint else {}
                 processes = IngressProcesses(folder, peer, settings=SMALL_BURST_SETTINGS, **options)
                 child, control = await processes.start()
-                caller = await Caller.to(processes.address)
-                assert [await caller.ask(command(str(n))) for n in range(4)] == [b"0", b"1", b"2", b"3"]
+                caller = await RespClient.connect(processes.address)
+                assert [await caller.request(command(str(n))) for n in range(4)] == [b"0", b"1", b"2", b"3"]
                 while checkpoint and not re.search(r"checkpoint\.snapshots:[1-9]", await ask(control, "show-stat")):
                     await asyncio.sleep(0.02)  # a process killed before its first snapshot leaves no usable checkpoint
                 child.send_signal(signal.SIGKILL)
                 await child.wait()
                 child, control = await processes.start()
-                caller = await Caller.to(processes.address)
-                answers = [await caller.ask(command(str(n))) for n in range(4)]
+                caller = await RespClient.connect(processes.address)
+                answers = [await caller.request(command(str(n))) for n in range(4)]
                 assert [isinstance(answer, bytes) for answer in answers] == expected
                 if checkpoint:  # other customers have their quota
-                    assert await caller.ask(command("x", customer=8)) == b"x"
+                    assert await caller.request(command("x", customer=8)) == b"x"
                     metrics = await ask(control, "show-stat")
                     assert "checkpoint.on:1|" in metrics
 
-    run(body())
+    run_async(body())
 
 
 def test_after_an_upgrade_the_new_process_writes_the_checkpoint(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             checkpoint = {"folder": str(tmp_path / "kept"), "every_s": 0.2}
             processes = IngressProcesses(tmp_path, peer, settings=SMALL_BURST_SETTINGS, checkpoint=checkpoint)
             old, _ = await processes.start()
-            caller = await Caller.to(processes.address)
-            assert await caller.ask(command("1")) == b"1"
+            caller = await RespClient.connect(processes.address)
+            assert await caller.request(command("1")) == b"1"
             new, control = await processes.start()
-            caller = await Caller.to(processes.address)
+            caller = await RespClient.connect(processes.address)
             # The new process sends this request; the old one receives the usage and writes it.
-            assert await caller.ask(command("2")) == b"2"
+            assert await caller.request(command("2")) == b"2"
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
             while not re.search(r"checkpoint\.snapshots:[1-9]", await ask(control, "show-stat")):
                 await asyncio.sleep(0.02)  # until then the checkpoint is that of the old process
-            assert await caller.ask(command("3")) == b"3"
+            assert await caller.request(command("3")) == b"3"
             new.send_signal(signal.SIGKILL)
             await new.wait()
             await processes.start()
-            caller = await Caller.to(processes.address)
-            answers = [await caller.ask(command(str(n))) for n in range(3)]
+            caller = await RespClient.connect(processes.address)
+            answers = [await caller.request(command(str(n))) for n in range(3)]
             assert [isinstance(answer, bytes) for answer in answers] == [True, False, False]
 
-    run(body())
+    run_async(body())
 
 
 def test_the_checkpoint_configuration_is_checked() -> None:
--- a/tests/test_emulator_live.py
+++ b/tests/test_emulator_live.py
@@ -37,8 +37,8 @@
 from ingress.emulator.network import NetworkModel
 from ingress.emulator.rules import RequestRecord
 from ingress.emulator.servers import Defect, ServerModel
-from tests.peers import Caller as Client
-from tests.peers import Peer, Reader, Writer, command, read_command, resp, run, until, value
+from tests.peers import Peer, Reader, Writer, command, endpoint_answer, read_command, resp, run_async, wait_until
+from tests.peers import RespClient as Client
 
 
 def experiment(**changes: Any) -> Experiment:
@@ -97,36 +97,36 @@
 def test_a_stand_in_answers_as_the_protocol_has_it() -> None:
     async def body() -> None:
         async with stand_in() as (server, book):
-            client = await Client.to(server.address)
-            assert await client.ask(command("1.1")) == [value_of("1.1", "s-00000"), None, None]
-            assert await client.ask(resp(b"PING")) == b"PONG"
-            assert await client.ask(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
-            assert isinstance(await client.ask(resp(b"HELLO", b"3")), hiredis.ReplyError)
-            assert str(await client.ask(command("9.9"))) == "SYNTAX"  # nobody asked for that
+            client = await Client.connect(server.address)
+            assert await client.request(command("1.1")) == [value_of("1.1", "s-00000"), None, None]
+            assert await client.request(resp(b"PING")) == b"PONG"
+            assert await client.request(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
+            assert isinstance(await client.request(resp(b"HELLO", b"3")), hiredis.ReplyError)
+            assert str(await client.request(command("9.9"))) == "SYNTAX"  # nobody asked for that
             assert len(book.faults) == 1
             for mode, answer in (("errors", "ERR failed"), ("spoilt", "None")):
                 server.model.defect = Defect(mode, 1.0, 1.0)
-                assert str(await client.ask(command("1.1"))) == answer
+                assert str(await client.request(command("1.1"))) == answer
             server.model.defect, server.model.is_draining = None, True
-            assert str(await client.ask(command("1.1"))) == "BUSY"
+            assert str(await client.request(command("1.1"))) == "BUSY"
             assert book.outcomes == [Outcome.OK, Outcome.ERROR, Outcome.MALFORMED, Outcome.REJECTED]
 
-    run(body())
+    run_async(body())
 
 
 def test_a_machine_that_vanished_is_silent_and_resets_when_it_is_back() -> None:
     async def body() -> None:
         async with stand_in() as (server, _):
-            client = await Client.to(server.address)
-            assert await client.ask(resp(b"PING")) == b"PONG"
+            client = await Client.connect(server.address)
+            assert await client.request(resp(b"PING")) == b"PONG"
             server.model.stop()
             server.model.is_reachable = False
             server.vanish()
             client.writer.write(command("1.1"))
-            answer = asyncio.create_task(client.answer())
+            answer = asyncio.create_task(client.read_answer())
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.3):
-                    await Client.to(server.address)  # it never comes up
+                    await Client.connect(server.address)  # it never comes up
             sock = client.writer.get_extra_info("socket")
             unacknowledged = struct.unpack("I", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0]
             assert unacknowledged == len(command("1.1")) and not answer.done()
@@ -134,25 +134,25 @@
             server.reset()
             with pytest.raises((EOFError, ConnectionError)):
                 await answer
-            again = await Client.to(server.address)
-            assert await again.ask(resp(b"PING")) == b"PONG"
+            again = await Client.connect(server.address)
+            assert await again.request(resp(b"PING")) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 def test_a_full_connection_table_turns_connections_away() -> None:
     async def body() -> None:
         async with stand_in(cores=1, connections_per_core=2) as (server, _):
-            clients = [await Client.to(server.address) for _ in range(2)]
-            assert [await client.ask(resp(b"PING")) for client in clients] == [b"PONG"] * 2
-            third = await Client.to(server.address)
+            clients = [await Client.connect(server.address) for _ in range(2)]
+            assert [await client.request(resp(b"PING")) for client in clients] == [b"PONG"] * 2
+            third = await Client.connect(server.address)
             with pytest.raises((EOFError, ConnectionError)):
-                await third.ask(resp(b"PING"))
+                await third.request(resp(b"PING"))
             clients[0].writer.close()
-            await until(lambda: server.model.connections < 2)
-            assert await (await Client.to(server.address)).ask(resp(b"PING")) == b"PONG"
+            await wait_until(lambda: server.model.connections < 2)
+            assert await (await Client.connect(server.address)).request(resp(b"PING")) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 def test_the_agent_tells_lists_and_changes_as_the_ingress_reads_them() -> None:
@@ -173,7 +173,7 @@
         first = await ask()
         assert (first.is_complete, [b.id for b in first.endpoints]) == (True, ["a"])
         watch = asyncio.create_task(ask(f"?after={first.version}&wait_ms=10000"))
-        await until(lambda: agent.waiting)
+        await wait_until(lambda: agent.waiting)
         agent.learn(
             EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("b"), Endpoint("a", readiness=Readiness.REMOVED)), 9)
         )
@@ -192,7 +192,7 @@
         quiet.cancel()
         agent.close()
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -231,7 +231,7 @@
                 words = await read_command(reader)
                 first.set()
                 await go.wait()
-                writer.write(value(words[2]))
+                writer.write(endpoint_answer(words[2]))
 
         async with Peer(stalls) as peer:
             spec = experiment(
@@ -253,11 +253,11 @@
             caller.load_balancer, caller.up = clients, True
             clients.start()
             await first.wait()
-            await until(lambda: kernel.now > 0.6)  # all were due by now, and none was held back
+            await wait_until(lambda: kernel.now > 0.6)  # all were due by now, and none was held back
             sent = record.totals["tries"]
             released = kernel.now
             go.set()
-            await until(lambda: record.totals["served"] == sent)
+            await wait_until(lambda: record.totals["served"] == sent)
             assert sent > 50
             found = record.latencies["request"].histogram
             assert found.get_total_count() == sent
@@ -267,7 +267,7 @@
             kernel.stop()
             caller.close()
 
-    run(body())
+    run_async(body())
 
 
 def play(spec: Experiment, folder: Path, seed: int = 1) -> dict[str, Any]:
@@ -276,7 +276,7 @@
     async def body() -> None:
         found.update(await LivePlay(spec, seed, folder).play())
 
-    run(body())
+    run_async(body())
     return found
 
 
@@ -312,14 +312,14 @@
     async def body() -> None:
         day = LivePlay(experiment(seconds=1.0), 1, tmp_path)
         ended = asyncio.create_task(day.play())
-        await until(lambda: day.gateways and day.gateways[0].up)
+        await wait_until(lambda: day.gateways and day.gateways[0].up)
         child = day.gateways[0].process.child
         assert child is not None
         child.send_signal(signal.SIGKILL)  # not by the day's doing
         exact = (await ended)["exact"]
         assert exact["broken"].get("crash") == 1
 
-    run(body())
+    run_async(body())
 
 
 def test_an_answer_that_no_server_made_is_a_break(tmp_path: Path) -> None:
@@ -338,7 +338,7 @@
         day.kernel.stop()
         day.file.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_an_ingress_killed_under_tls_goes_on_from_its_checkpoint(tmp_path: Path) -> None:
--- a/tests/test_exporter.py
+++ b/tests/test_exporter.py
@@ -20,7 +20,7 @@
 from ingress.observability.polling_loop import PollingPlan
 from ingress.runtime.metrics import Metrics, RequestResult
 
-from .peers import Address, Caller, backend, command, config, entry, run, until
+from .peers import Address, RespClient, command, config, endpoint_entry, fake_endpoint, run_async, wait_until
 from .test_net_control import SECOND
 from .test_net_ingress import serving
 
@@ -119,19 +119,22 @@
 
 def test_a_scrape_tells_what_a_real_ingress_has_done() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address), control=SECOND)) as (served, address):
+        async with (
+            fake_endpoint() as peer,
+            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+        ):
             assert served.admin_server is not None
             second: Address = served.admin_server.listening_socket.getsockname()
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             for n in range(12):
-                assert await caller.ask(command(f"{n:016x}")) == b"%016x" % n
+                assert await caller.request(command(f"{n:016x}")) == b"%016x" % n
             reader, ports = Poller(2.0, 100.0), list[int]()
             reader.set_addresses([second])
             plan = PollingPlan(None, 0.05)
             exporting = asyncio.create_task(
                 export(reader, plan, ("127.0.0.1", 0), lambda _, port: ports.append(port), pytest.fail)
             )
-            await until(lambda: ports and all(one.state is PollState.OK for one in reader.ingresses.values()))
+            await wait_until(lambda: ports and all(one.state is PollState.OK for one in reader.ingresses.values()))
             found = await asyncio.to_thread(scrape, f"http://127.0.0.1:{ports[0]}/metrics")
             name = f"{second[0]}:{second[1]}"
             mine = {key: value for key, value in found.items() if ("ingress", name) in key[1]}
@@ -143,7 +146,7 @@
             with contextlib.suppress(asyncio.CancelledError):
                 await exporting
 
-    run(body())
+    run_async(body())
 
 
 def test_all_that_an_ingress_reports_of_requests_is_told() -> None:
--- a/tests/test_fleet_poller.py
+++ b/tests/test_fleet_poller.py
@@ -27,7 +27,18 @@
 from ingress.observability.summary import outliers, summarize
 from ingress.observability.terminal import render
 
-from .peers import Address, Caller, Peer, Writer, backend, command, config, entry, run, until
+from .peers import (
+    Address,
+    Peer,
+    RespClient,
+    Writer,
+    command,
+    config,
+    endpoint_entry,
+    fake_endpoint,
+    run_async,
+    wait_until,
+)
 from .peers import Reader as Stream
 from .test_net_control import SECOND
 from .test_net_ingress import serving
@@ -179,7 +190,7 @@
             assert [one["state"] for one in look["unwell"]] == ["silent", "nonsense", "nonsense", "refused", "refused"]
             assert json.loads(json.dumps(look)) == look and render(look).renderables
 
-    run(body())
+    run_async(body())
 
 
 def test_a_look_does_not_wait_for_those_that_were_silent(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -200,31 +211,34 @@
                 await reader.poll()
                 assert well.connections == looks + 2
             assert len(reader.calls) == 2  # one at a time, and none of them twice
-            await until(lambda: one.connections == 2)
+            await wait_until(lambda: one.connections == 2)
             assert other.connections == 1
             await reader.close()
             assert not reader.calls
 
-    run(body())
+    run_async(body())
 
 
 def test_totals_are_those_of_the_ingress_itself() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address), control=SECOND)) as (served, address):
+        async with (
+            fake_endpoint() as peer,
+            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+        ):
             assert served.admin_server is not None
             second: Address = served.admin_server.listening_socket.getsockname()
             looks: list[dict[str, Any]] = []
             reader = Poller(2.0, 100.0)
             reader.set_addresses([second])
             await poll_repeatedly(reader, PollingPlan(None, 0.01, 1), looks.append, pytest.fail)
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             for n in range(20):
-                assert await caller.ask(command(f"{n:016x}")) == b"%016x" % n
+                assert await caller.request(command(f"{n:016x}")) == b"%016x" % n
             await poll_repeatedly(reader, PollingPlan(None, 0.01, 1), looks.append, pytest.fail)
             assert looks[1]["totals"]["app.results.read.succeeded"] == 20 == looks[1]["totals"]["app.forwards"]
             assert looks[1]["rates"]["app.results.read.succeeded"] > 0
 
-    run(body())
+    run_async(body())
 
 
 def test_a_file_is_read_again_when_it_changes_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
@@ -244,7 +258,7 @@
                 Poller(1.0, 1000.0), PollingPlan(AddressFile(tmp_path / "none"), 0.0, 1), looks.append, said.append
             )
 
-    run(body())
+    run_async(body())
 
 
 def called(*words: str) -> subprocess.CompletedProcess[str]:
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -16,7 +16,7 @@
 from ingress.configuration.versions import ConfigVersions
 from ingress.runtime.metrics import Metrics, RequestResult
 from tests.golden_files import GOLDEN, golden
-from tests.peers import Caller, backend, command, config, entry, run
+from tests.peers import RespClient, command, config, endpoint_entry, fake_endpoint, run_async
 from tests.test_golden import OTHER, ROW, in_folder, process
 from tests.test_net_control import SECOND, call
 from tests.test_net_ingress import serving
@@ -30,17 +30,17 @@
 
     async def body() -> None:
         with tempfile.TemporaryDirectory() as folder:
-            async with backend() as peer:
+            async with fake_endpoint() as peer:
                 kept = {"folder": folder, "every_s": 1000}
-                settings = config(entry(peer.address), control=SECOND, checkpoint=kept)
+                settings = config(endpoint_entry(peer.address), control=SECOND, checkpoint=kept)
                 async with serving(settings) as (served, address):
-                    caller = await Caller.to(address)
-                    assert await caller.ask(command("one")) == b"one"
+                    caller = await RespClient.connect(address)
+                    assert await caller.request(command("one")) == b"one"
                     answers.extend([(line, await call(served, line)) for line in LINES])
                     assert served.checkpoint_writer is not None
                     await served.checkpoint_writer.close(clean=False)
 
-    run(body())
+    run_async(body())
     text = "".join(f"> {line.decode()}\n{answer}" for line, answer in answers)
     text = re.sub(r"(?m)^(digest|since): .*$", r"\1:", text)
     text = re.sub(r"\d{4}-\d\d-\d\dT\d\d:\d\d:\d\dZ", "TIME", text)
--- a/tests/test_golden_logs.py
+++ b/tests/test_golden_logs.py
@@ -19,7 +19,7 @@
 from ingress.observability.quota_replay import report_on_quotas
 from ingress.runtime.logs import INGRESS_LOG, REQUESTS, JsonLines
 from tests.golden_files import GOLDEN, as_json, golden
-from tests.peers import Caller, backend, config, entry, resp, run
+from tests.peers import RespClient, config, endpoint_entry, fake_endpoint, resp, run_async
 from tests.test_net_ingress import serving
 
 LOGS = GOLDEN / "fleet"
@@ -93,14 +93,16 @@
     names = b"c=read,t=basic,d=2000,units=2.5,spread=4,first=1"
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
+            assert await caller.request(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
             served.gateway.handle = refuse  # type: ignore[method-assign]
-            assert str(await caller.ask(resp(b"API.READ", b"%016x" % 8, b"two", names + b",r=1"))).startswith("BUSY")
+            assert str(await caller.request(resp(b"API.READ", b"%016x" % 8, b"two", names + b",r=1"))).startswith(
+                "BUSY"
+            )
 
     with collected() as records:
-        run(body())
+        run_async(body())
     told = [one for one in records if one.name == REQUESTS.name or "serves on" in one.getMessage()]
     return b"".join(sorted(map(masked, told)))
 
--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -16,7 +16,7 @@
 from ingress.endpoint_registry.catalog import Catalog
 from ingress.endpoint_registry.store import Store
 from tests.golden_files import GOLDEN, as_json, golden
-from tests.test_registry import TOKEN, row, run, serving
+from tests.test_registry import TOKEN, row, run_async, serving
 
 STORE = "registry"
 BACKUPS = "registry-copies"
@@ -140,7 +140,7 @@
 
     with tempfile.TemporaryDirectory() as name:
         shutil.copytree(GOLDEN / STORE, Path(name) / "list")
-        run(body(Path(name) / "list"))
+        run_async(body(Path(name) / "list"))
     return "".join(lines).encode()
 
 
--- a/tests/test_net_backends.py
+++ b/tests/test_net_backends.py
@@ -17,7 +17,17 @@
 from ingress.upstream.connection_pool import ConnectionPool
 from ingress.upstream.pool_settings import PoolSettings
 from ingress.upstream.response_parser import AttemptResult
-from tests.peers import Address, Peer, Reader, Writer, backend, read_command, run, until, value
+from tests.peers import (
+    Address,
+    Peer,
+    Reader,
+    Writer,
+    endpoint_answer,
+    fake_endpoint,
+    read_command,
+    run_async,
+    wait_until,
+)
 
 PARTS = CommandParts(b"*4\r\n$8\r\nAPI.READ\r\n$2\r\nc7\r\n$2\r\nr1\r\n", b"c=read,d=2000,t=basic,x=9", b"\r\n")
 
@@ -67,7 +77,7 @@
 
     async def result(self, count: int = 1) -> Any:
         """Wait for so many results, and return the outcome and value of the last of these."""
-        await until(lambda: len(self.results) >= count)
+        await wait_until(lambda: len(self.results) >= count)
         return self.results[count - 1][1:]
 
 
@@ -77,9 +87,9 @@
 @pytest.mark.parametrize(
     ("answer", "outcome", "expected_value"),
     [
-        (value(b"hello"), Outcome.OK, b"hello"),
-        (value(b""), Outcome.OK, b""),
-        (value(BINARY), Outcome.OK, BINARY),
+        (endpoint_answer(b"hello"), Outcome.OK, b"hello"),
+        (endpoint_answer(b""), Outcome.OK, b""),
+        (endpoint_answer(BINARY), Outcome.OK, BINARY),
         (b"*3\r\n$2\r\nok\r\n$1\r\n4\r\n$10\r\ninflight=7\r\n", Outcome.OK, b"ok"),
         (b"-ERR failed\r\n", Outcome.ERROR, None),
         (b"-ERR failed inflight=7,queue=2\r\n", Outcome.ERROR, None),
@@ -94,12 +104,12 @@
 )
 def test_outcome_of_each_kind_of_reply(answer: bytes, outcome: Outcome, expected_value: bytes | None) -> None:
     async def body() -> None:
-        async with backend(answer) as peer:
+        async with fake_endpoint(answer) as peer:
             pool = PoolUnderTest(peer.address)
             pool.send()
             assert await pool.result() == (outcome, expected_value)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -123,12 +133,12 @@
             pool.send()
             assert await pool.result() == (Outcome.MALFORMED, None)
 
-    run(body())
+    run_async(body())
 
 
 def test_only_the_timeout_field_of_a_command_is_rewritten() -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address)
             data = b"$%d\r\n%b\r\n" % (len(BINARY), BINARY)
             pool.send(wait=1.0, parts=CommandParts(PARTS.before.replace(b"*4", b"*5"), PARTS.fields, b"\r\n" + data))
@@ -139,7 +149,7 @@
             assert names[0] == b"c=read" and names[2:] == [b"t=basic", b"x=9"]
             assert names[1].startswith(b"d=") and 1 <= int(names[1][2:]) <= 1000
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("partial_reply", [b"", b"*3\r\n$5\r\nhel"])
@@ -155,7 +165,7 @@
             assert await pool.result() == (Outcome.RESET, None)
             assert pool.pool.connection_count == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_refused_connection_is_a_failed_connect() -> None:
@@ -168,7 +178,7 @@
         pool.send("unknown")
         assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("wait", [5.0, 0.05])
@@ -184,11 +194,11 @@
             pool = PoolUnderTest(server.getsockname(), timeout=0.1)
             pool.send(wait=wait)
             assert await pool.result() == (Outcome.CONNECT_FAILED, None)
-            await until(lambda: pool.pool.connection_count == 0)
+            await wait_until(lambda: pool.pool.connection_count == 0)
             for sock in crowd:
                 sock.close()
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -217,31 +227,31 @@
             assert seen == [b""]
             peer.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_most_recently_used_connection_is_reused() -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address)
             pool.send()
             pool.send()
             await pool.result(2)
             latest = pool.pool.endpoints["s0"].idle_connections[-1]
-            await until(lambda: pool.pool.clock() > latest.reusable_at)  # the reuse delay of both has passed
+            await wait_until(lambda: pool.pool.clock() > latest.reusable_at)  # the reuse delay of both has passed
             attempt = pool.send()
             assert attempt.connection is latest
             await pool.result(3)
             assert peer.connections == 2 and pool.pool.connection_count == 2
 
-    run(body())
+    run_async(body())
 
 
 def test_connection_is_not_reused_before_the_reuse_delay() -> None:
     """No other connection is opened meanwhile, because a handshake costs more than the delay."""
 
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address)
             pool.send()
             await pool.result()
@@ -252,14 +262,14 @@
             await pool.result(2)
             assert pool.pool.clock() >= attempt.started_at and peer.connections == 1
 
-    run(body())
+    run_async(body())
 
 
 def test_connection_closed_by_the_peer_is_not_reused() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
-            writer.write(value(b"%d" % number))
+            writer.write(endpoint_answer(b"%d" % number))
             if number == 0:
                 return
 
@@ -268,29 +278,29 @@
             pool = PoolUnderTest(peer.address)
             pool.send()
             assert await pool.result() == (Outcome.OK, b"0")
-            await until(lambda: peer.ended)
+            await wait_until(lambda: peer.ended_connections)
             pool.send()
             assert await pool.result(2) == (Outcome.OK, b"1")
 
-    run(body())
+    run_async(body())
 
 
 def test_unsolicited_reply_closes_the_connection() -> None:
     async def body() -> None:
-        async with backend(value(b"one") + value(b"two")) as peer:
+        async with fake_endpoint(endpoint_answer(b"one") + endpoint_answer(b"two")) as peer:
             pool = PoolUnderTest(peer.address)
             pool.send()
             assert await pool.result() == (Outcome.OK, b"one")
             assert pool.pool.connection_count == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_idle_connections_are_closed_before_the_endpoint_closes_them(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(module, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address, idle_timeout=15.0)
             pool.send()
             await pool.result()
@@ -298,16 +308,16 @@
             await asyncio.sleep(0.05)
             assert pool.pool.connection_count == 1
             pool.clock_offset = 10.0
-            await until(lambda: pool.pool.connection_count == 0 and peer.ended)
+            await wait_until(lambda: pool.pool.connection_count == 0 and peer.ended_connections)
 
-    run(body())
+    run_async(body())
 
 
 def test_connection_idle_too_long_is_not_reused_between_sweeps() -> None:
     """The endpoint closes it after 2 s; our part of that time is shorter than the interval between two sweeps."""
 
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address, idle_timeout=2.0)
             for number in range(2):
                 pool.send()
@@ -318,13 +328,13 @@
             assert (await pool.result(3))[0] is Outcome.OK
             assert peer.connections == 2
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
 def test_nothing_new_is_written_after_the_drain_grace_period(readiness: Readiness) -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address)
             pool.send()  # its connection is established after the grace period has ended
             pool.update_endpoints((Endpoint("s0", readiness=readiness), peer.address), full=False)
@@ -337,37 +347,37 @@
             pool.send()
             assert (await pool.result(3))[0] is Outcome.OK
 
-    run(body())
+    run_async(body())
 
 
 def test_endpoint_missing_from_a_complete_list_is_removed() -> None:
     async def body() -> None:
-        async with backend() as peer, backend() as other:
+        async with fake_endpoint() as peer, fake_endpoint() as other:
             pool = PoolUnderTest(peer.address, other.address)
             pool.send("s0")
             await pool.result()
             pool.update_endpoints((Endpoint("s1"), other.address))
-            await until(lambda: pool.pool.connection_count == 0)
+            await wait_until(lambda: pool.pool.connection_count == 0)
             pool.clock_offset = 1.0
             pool.send("s0")
             assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
             assert len(peer.commands) == 1
 
-    run(body())
+    run_async(body())
 
 
 def test_connection_to_the_old_address_is_not_reused_after_a_move() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         old.commands.append(await read_command(reader))
-        await until(lambda: moved)
-        writer.write(value(b"old"))
+        await wait_until(lambda: moved)
+        writer.write(endpoint_answer(b"old"))
         await reader.read()
 
     async def body() -> None:
-        async with old, backend(value(b"new")) as new:
+        async with old, fake_endpoint(endpoint_answer(b"new")) as new:
             pool = PoolUnderTest(old.address)
             pool.send()
-            await until(lambda: old.commands)
+            await wait_until(lambda: old.commands)
             pool.update_endpoints((Endpoint("s0"), new.address), full=False)
             moved.append(True)
             assert await pool.result() == (Outcome.OK, b"old")
@@ -376,12 +386,12 @@
 
     moved: list[bool] = []
     old = Peer(script)
-    run(body())
+    run_async(body())
 
 
 def test_endpoint_that_moved_is_contacted_at_its_new_address() -> None:
     async def body() -> None:
-        async with backend(value(b"old")) as old, backend(value(b"new")) as new:
+        async with fake_endpoint(endpoint_answer(b"old")) as old, fake_endpoint(endpoint_answer(b"new")) as new:
             pool = PoolUnderTest(old.address)
             pool.send()
             await pool.result()
@@ -389,12 +399,12 @@
             pool.send()
             assert await pool.result(2) == (Outcome.OK, b"new")
 
-    run(body())
+    run_async(body())
 
 
 def test_connections_are_limited_over_all_endpoints() -> None:
     async def body() -> None:
-        async with backend() as one, backend(b"") as silent:
+        async with fake_endpoint() as one, fake_endpoint(b"") as silent:
             pool = PoolUnderTest(one.address, silent.address, max_connections=2)
             pool.send("s0")
             await pool.result()
@@ -402,7 +412,7 @@
             pool.send("s1")  # replaces the idle connection to the other endpoint
             pool.send("s1")
             assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
-            await until(lambda: len(silent.commands) == 2)
+            await wait_until(lambda: len(silent.commands) == 2)
             assert pool.pool.connection_count == 2 and pool.results[-1][0] == 3
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_bad_peers.py
+++ b/tests/test_net_bad_peers.py
@@ -23,19 +23,19 @@
 from tests.peers import (
     SETTINGS,
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
     resp,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_ingress import serving
 from tests.test_net_signals import check_no_traceback, fleet, launched
@@ -66,7 +66,7 @@
             else:
                 executions[words[2]] += 1
                 await asyncio.sleep(SERVICE_TIME_S)
-                answer = value(words[2])
+                answer = endpoint_answer(words[2])
             writer.write(answer)
             asyncio.get_running_loop().call_later(delay, send_again, writer, answer)
 
@@ -84,15 +84,15 @@
     """The next request is sent at once, while the duplicate of the previous response is still on its way."""
 
     async def body() -> None:
-        async with duplicating_endpoint(delay)[0] as peer, launched(tmp_path, entry(peer.address)) as program:
+        async with duplicating_endpoint(delay)[0] as peer, launched(tmp_path, endpoint_entry(peer.address)) as program:
             await program.ready()
-            caller = await Caller.to(program.address)
-            answers = [(b"%016x" % n, await caller.ask(command(f"{n:016x}"))) for n in range(20)]
+            caller = await RespClient.connect(program.address)
+            answers = [(b"%016x" % n, await caller.request(command(f"{n:016x}"))) for n in range(20)]
             wrong = [(asked, answer) for asked, answer in answers if isinstance(answer, bytes) and answer != asked]
             assert not wrong, f"{len(wrong)} of 20 requests: {wrong[:3]}"
             assert sum(asked == answer for asked, answer in answers) >= 10
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("delay", [0.001, 0.005, 0.010])
@@ -107,10 +107,10 @@
 
             async def ask(number: int) -> None:
                 nonlocal served
-                caller = await Caller.to(program.address)
+                caller = await RespClient.connect(program.address)
                 for n in range(8):
                     asked = f"{number:08x}{n:08x}"
-                    answer = await caller.ask(command(asked, customer=number))
+                    answer = await caller.request(command(asked, customer=number))
                     served += answer == asked.encode()
                     if isinstance(answer, bytes) and answer != asked.encode():
                         wrong.append((asked.encode(), answer))
@@ -119,7 +119,7 @@
             assert not wrong, f"{len(wrong)} of 96 requests: {wrong[:3]}"
             assert served >= 10
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("delay", [0.001, 0.005, 0.010])
@@ -128,17 +128,17 @@
 
     async def body() -> None:
         peer, executions = duplicating_endpoint(delay, b"-BUSY\r\n")
-        async with peer, launched(tmp_path, entry(peer.address), settings=UNSAFE) as program:
+        async with peer, launched(tmp_path, endpoint_entry(peer.address), settings=UNSAFE) as program:
             await program.ready()
-            caller = await Caller.to(program.address)
-            answers = [(b"%016x" % n, await caller.ask(command(f"{n:016x}", "pay"))) for n in range(30)]
+            caller = await RespClient.connect(program.address)
+            answers = [(b"%016x" % n, await caller.request(command(f"{n:016x}", "pay"))) for n in range(30)]
             refused = [asked for asked, answer in answers if str(answer).startswith("BUSY")]
             wrong = [asked for asked in refused if executions[asked]]
             assert not wrong, f"{len(wrong)} of {len(refused)} refused requests were executed: {wrong[:3]}"
             assert max(executions.values()) == 1, executions
             assert len(refused) < len(answers)
 
-    run(body())
+    run_async(body())
 
 
 # Truncated, malformed, late and endless responses
@@ -156,7 +156,7 @@
             peer.commands.append(words)
             number = len(peer.commands) - 1
             answer = answers[number] if number < len(answers) else None
-            writer.write(value(words[2]) if answer is None else answer)
+            writer.write(endpoint_answer(words[2]) if answer is None else answer)
             if answer is None:
                 continue
             match then:
@@ -225,19 +225,19 @@
             scripted_endpoint(*[answer] * 9, then=then) as peer,
             serving(config(*fleet(peer), settings=UNSAFE)) as (served, address),
         ):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             started_at = time.monotonic()
             caller.writer.write(command("one", "pay", d=400))
             if answer.startswith(b"*3\r\n$70000\r\n"):  # The client notices that the value is incomplete.
                 with pytest.raises((EOFError, ConnectionError, hiredis.ProtocolError)):
-                    pytest.fail(f"served: {len(await caller.answer())} bytes")
+                    pytest.fail(f"served: {len(await caller.read_answer())} bytes")
             else:
-                assert str(await caller.answer()) == "ERR failed"
+                assert str(await caller.read_answer()) == "ERR failed"
             assert time.monotonic() - started_at < 1.5
-            await until(lambda: not served.requests.in_flight and not served.requests.attempts_in_flight)
+            await wait_until(lambda: not served.requests.in_flight and not served.requests.attempts_in_flight)
             assert [words[2] for words in peer.commands] == [b"one"]
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("malformed", [b"*0\r\n", b"+OK\r\n", b"$-1\r\n", b":1\r\n"])
@@ -250,15 +250,15 @@
                 words = await read_command(reader)
                 writer.write(malformed)
                 await asyncio.sleep(0.005)
-                writer.write(value(words[2]))
+                writer.write(endpoint_answer(words[2]))
 
-        async with Peer(script) as peer, launched(tmp_path, entry(peer.address), settings=UNSAFE) as program:
+        async with Peer(script) as peer, launched(tmp_path, endpoint_entry(peer.address), settings=UNSAFE) as program:
             await program.ready()
-            caller = await Caller.to(program.address)
-            answers = [await caller.ask(command(f"{n}", "pay")) for n in range(10)]
+            caller = await RespClient.connect(program.address)
+            answers = [await caller.request(command(f"{n}", "pay")) for n in range(10)]
             assert all(isinstance(answer, hiredis.ReplyError) for answer in answers), answers
 
-    run(body())
+    run_async(body())
 
 
 def success_log_fields(records: list[logging.LogRecord]) -> list[dict[str, Any]]:
@@ -280,12 +280,12 @@
     names = b"c=read,t=basic,d=2000,units=2.5,spread=3,first=1" + (b",r=1" if repeat else b"")
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
+            assert await caller.request(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
-        run(body())
+        run_async(body())
     [row] = success_log_fields(caplog.records)
     assert row.pop("ms") > 0
     assert row == {
@@ -308,12 +308,12 @@
 ) -> None:
     async def body() -> None:
         async with scripted_endpoint(refusal) as peer, serving(config(*fleet(peer), settings=UNSAFE)) as (_, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(command("one", "pay")) == b"one"
+            caller = await RespClient.connect(address)
+            assert await caller.request(command("one", "pay")) == b"one"
             assert [words[2] for words in peer.commands] == [b"one"] * 2
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
-        run(body())
+        run_async(body())
     assert attempt_counts(caplog.records) == [2]
 
 
@@ -324,21 +324,23 @@
         with socket.socket() as closed:
             closed.bind(("127.0.0.1", 0))  # Bound but not listening.
             async with (
-                backend() as peer,
+                fake_endpoint() as peer,
                 serving(
                     config(
-                        entry(peer.address), *(entry(closed.getsockname(), f"r{n}") for n in range(3)), settings=UNSAFE
+                        endpoint_entry(peer.address),
+                        *(endpoint_entry(closed.getsockname(), f"r{n}") for n in range(3)),
+                        settings=UNSAFE,
                     )
                 ) as (_, address),
             ):
-                caller = await Caller.to(address)
+                caller = await RespClient.connect(address)
                 for n in range(12):
-                    answer = await caller.ask(command(f"{n}", "pay"))
+                    answer = await caller.request(command(f"{n}", "pay"))
                     assert answer == b"%d" % n or str(answer).startswith("BUSY"), answer
                 assert max(Counter(words[2] for words in peer.commands).values()) == 1
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
-        run(body())
+        run_async(body())
     assert max(attempt_counts(caplog.records)) > 1
 
 
@@ -352,23 +354,23 @@
             while True:
                 words = await read_command(reader)
                 if words[2] == b"late":
-                    loop.call_later(0.3, writer.write, value(b"late"))
+                    loop.call_later(0.3, writer.write, endpoint_answer(b"late"))
                 else:
                     await asyncio.sleep(0.2)
-                    writer.write(value(words[2]))
+                    writer.write(endpoint_answer(words[2]))
 
-        async with Peer(script) as peer, serving(config(entry(peer.address), settings=UNSAFE)) as (_, address):
-            caller = await Caller.to(address)
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address), settings=UNSAFE)) as (_, address):
+            caller = await RespClient.connect(address)
             own_answers = 0
             for n in range(3):
                 caller.writer.write(command("late", "pay", d=250))
-                assert isinstance(await caller.answer(), hiredis.ReplyError)
-                answer = await caller.ask(command(f"{n}", "pay"))
+                assert isinstance(await caller.read_answer(), hiredis.ReplyError)
+                answer = await caller.request(command(f"{n}", "pay"))
                 assert answer == b"%d" % n or str(answer).startswith("BUSY"), answer
                 own_answers += answer == b"%d" % n
             assert own_answers
 
-    run(body())
+    run_async(body())
 
 
 # Misbehaving clients
@@ -480,7 +482,7 @@
     """All malformed inputs are sent at once, alongside a client that sends requests all the time."""
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             over = asyncio.Event()
             asked = 0
@@ -488,16 +490,16 @@
 
             async def steady() -> None:
                 nonlocal asked, slowest
-                caller = await Caller.to(program.address)
+                caller = await RespClient.connect(program.address)
                 while not over.is_set():
                     sent_at = time.monotonic()
                     asked += 1
-                    assert await caller.ask(command(f"good{asked}")) == b"good%d" % asked
+                    assert await caller.request(command(f"good{asked}")) == b"good%d" % asked
                     slowest = max(slowest, time.monotonic() - sent_at)
                     await asyncio.sleep(0.02)
 
             asking = asyncio.create_task(steady())
-            await until(lambda: asked)
+            await wait_until(lambda: asked)
             times = dict(
                 zip(
                     MALFORMED_INPUTS,
@@ -521,12 +523,12 @@
             assert all(words[2].startswith(b"good") for words in peer.commands)  # No malformed input was forwarded.
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_flood_of_60_mb_gets_an_error_line_or_a_close_in_time(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             times: dict[str, Any] = {}
             for name, (data, reads) in FLOODS.items():
@@ -540,25 +542,25 @@
                 )
             assert not {name: one for name, one in times.items() if isinstance(one, BaseException)}
             assert not peer.commands
-            caller = await Caller.to(program.address)
-            assert await caller.ask(command()) == b"00000000000000aa"
+            caller = await RespClient.connect(program.address)
+            assert await caller.request(command()) == b"00000000000000aa"
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_long_body_sent_a_byte_at_a_time_gets_an_error_line_or_a_close_in_time(tmp_path: Path) -> None:
     """The specification limits a value to 64 KiB, and a request that never ends is malformed."""
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             seconds = await asyncio.wait_for(
                 time_to_reject(program.address, b"x", 1 << 20, 0.3, before=LONG % 70_000), LARGE_REJECT_TIMEOUT_S + 1
             )
             assert seconds < LARGE_REJECT_TIMEOUT_S
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -566,26 +568,26 @@
 )
 def test_a_bulk_string_without_crlf_at_its_declared_size_is_malformed(data: bytes) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(*fleet(peer))) as (_, address):
+        async with fake_endpoint() as peer, serving(config(*fleet(peer))) as (_, address):
             assert await time_to_reject(address, data) < REJECT_TIMEOUT_S
             assert not peer.commands
 
-    run(body())
+    run_async(body())
 
 
 def test_more_silent_clients_than_the_connection_limit_are_each_closed_in_time(tmp_path: Path) -> None:
     async def body() -> None:
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
-        async with backend() as peer, launched(tmp_path, *fleet(peer), limits=limits) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer), limits=limits) as program:
             await program.ready()
             times = await asyncio.gather(
                 *(asyncio.wait_for(time_to_reject(program.address, data), 8.0) for data in [b"", b"*4\r\n"] * 150)
             )
             assert max(times) < REJECT_TIMEOUT_S
-            caller = await Caller.to(program.address)
-            assert await caller.ask(command()) == b"00000000000000aa"
+            caller = await RespClient.connect(program.address)
+            assert await caller.request(command()) == b"00000000000000aa"
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -611,9 +613,9 @@
     assert b"".join(words).count(new) == 1
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
-            assert str(await caller.ask(resp(*words))).startswith("ERR ")
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
+            assert str(await caller.request(resp(*words))).startswith("ERR ")
             assert not peer.commands
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_changes.py
+++ b/tests/test_net_changes.py
@@ -39,19 +39,19 @@
 from tests.conftest import BASIC_PLAN, GatewayHarness, started_attempts
 from tests.peers import (
     SETTINGS,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
     config_text,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_control import SECOND, call
 from tests.test_net_handover import process
@@ -63,7 +63,7 @@
 
 
 def plain(peer: Peer) -> Config:
-    return config(entry(peer.address), control=SECOND)
+    return config(endpoint_entry(peer.address), control=SECOND)
 
 
 def with_plan(**changes: Any) -> dict[str, Any]:
@@ -125,8 +125,8 @@
 
 def test_a_change_is_applied_whole_and_shown() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, address):
-            caller = await Caller.to(address)
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, address):
+            caller = await RespClient.connect(address)
             before = await shown(served)
             assert [before[key] for key in ("generation", "cause", "refused")] == [["1"], ["start"], ["none"]]
             extra = SETTINGS["categories"][0] | {"name": "extra"}
@@ -155,16 +155,16 @@
             words = new.split(b"\r\n")
             words[-2] = words[-2].replace(b"t=basic", b"t=gold")
             words[-3] = b"$%d" % len(words[-2])
-            assert await caller.ask(b"\r\n".join(words)) == b"00000000000000aa"
+            assert await caller.request(b"\r\n".join(words)) == b"00000000000000aa"
             assert served.metrics.results["extra", RequestResult.SUCCEEDED] == 1
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(("key", "text"), [("name", "another"), ("listen", "127.0.0.1:1"), ("control", "127.0.0.1:2")])
 def test_what_cannot_change_refuses_the_whole_change(key: str, text: str) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
             before = state(served)
             new = like(served, settings=with_plan(refill=7.0), **{key: text})
             reason = await served.changes.change(new, "reload")
@@ -173,13 +173,13 @@
             [refused] = (await shown(served))["refused"]
             assert refused.startswith("reload at ") and refused.endswith(reason)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_failure_at_each_step_of_preparing_leaves_everything_as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, address):
-            caller = await Caller.to(address)
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, address):
+            caller = await RespClient.connect(address)
             told = SETTINGS | {
                 "family-info": {"counter": True, "count-wait-s": 0.1},
                 "contracts": [PLAN | {"refill": 7.0}],
@@ -199,29 +199,29 @@
                     patch.setattr(f"ingress.{step}", fail)
                     assert await served.changes.change(new, "reload") == "RuntimeError: injected"
                 assert state(served) == before
-                assert await caller.ask(command()) == b"00000000000000aa"
+                assert await caller.request(command()) == b"00000000000000aa"
             assert not await served.changes.change(new, "reload")
             assert isinstance(served.counter.client, CounterClient)
             assert not await served.changes.change(like(served, counter=None, settings=SETTINGS), "reload")
             assert served.counter.client is None
 
-    run(body())
+    run_async(body())
 
 
 def test_a_seed_or_an_older_list_alone_is_no_change() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
             before = state(served)
             older = {"version": 0, "full": True, "servers": list[Any]()}
             assert not await served.changes.change(like(served, seed="77", known=older), "reload")
             assert state(served) == before
 
-    run(body())
+    run_async(body())
 
 
 def test_revert_goes_back_step_by_step_and_a_later_reload_applies_the_file_again() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
             assert await said(served, b"revert") == "fail there is no generation before"
             files = [like(served, settings=with_plan(refill=rate)) for rate in (7.0, 8.0)]
             for file in files:
@@ -238,7 +238,7 @@
             assert await said(served, b"revert") == "fail there is no generation before"
             assert (await shown(served))["before"] == ["none"]
 
-    run(body())
+    run_async(body())
 
 
 def test_generations_are_bounded_in_number_and_in_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -259,21 +259,21 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         await go_on.wait()
-        writer.write(value(words[2]))
+        writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
         async with Peer(script) as peer, serving(plain(peer)) as (served, address):
-            first, second = await Caller.to(address), await Caller.to(address)
+            first, second = await RespClient.connect(address), await RespClient.connect(address)
             first.writer.write(command("open"))
-            await until(lambda: served.requests.attempts_in_flight)
+            await wait_until(lambda: served.requests.attempts_in_flight)
             assert not await served.changes.change(
                 like(served, settings=SETTINGS | {"contracts": [PLAN | {"name": "gold"}]}), "reload"
             )
-            assert "unknown plan" in str(await second.ask(command("late")))
+            assert "unknown plan" in str(await second.request(command("late")))
             go_on.set()
-            assert await first.answer() == b"open"
+            assert await first.read_answer() == b"open"
 
-    run(body())
+    run_async(body())
 
 
 def test_lower_limits_bound_new_work_at_once_and_cut_nothing_off(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -287,36 +287,36 @@
             words = await read_command(reader)
             if words[2] == b"slow":
                 await go_on.wait()
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
         async with Peer(script) as peer, serving(plain(peer)) as (served, address):
-            callers = [await Caller.to(address) for _ in range(40)]
+            callers = [await RespClient.connect(address) for _ in range(40)]
             for caller in callers:
-                assert await caller.ask(command("quick")) == b"quick"
+                assert await caller.request(command("quick")) == b"quick"
             callers[0].writer.write(command("slow"))
-            await until(lambda: served.requests.attempts_in_flight)
+            await wait_until(lambda: served.requests.attempts_in_flight)
             held = served.budget.command_bytes
             less = {"cores": 1.0, "memory_mb": 24, "sockets": 64}
             assert not await served.changes.change(like(served, limits=less), "reload")
             assert served.clients.max_connections == 16
-            await until(lambda: len(served.clients.connections) <= 16)
+            await wait_until(lambda: len(served.clients.connections) <= 16)
             served.budget.command_bytes = 3 << 20  # more than the new limit leaves
             served.applier.parts.memory_monitor.check()
             assert str(await until_answer(callers, command("more"))).startswith("BUSY")
             served.budget.command_bytes = held
-            await until(lambda: not served.clients.over_limit)
+            await wait_until(lambda: not served.clients.over_limit)
             go_on.set()
-            assert await callers[0].answer() == b"slow"
+            assert await callers[0].read_answer() == b"slow"
 
-    run(body())
+    run_async(body())
 
 
-async def until_answer(callers: list[Caller], data: bytes) -> Any:
+async def until_answer(callers: list[RespClient], data: bytes) -> Any:
     """The answer on one of the connections that are left."""
     for caller in reversed(callers[1:]):
         try:
-            return await caller.ask(data)
+            return await caller.request(data)
         except (EOFError, ConnectionError):
             continue
     raise AssertionError("no connection is left")
@@ -330,20 +330,20 @@
 
 def test_many_changes_leave_no_generation_behind_but_those_that_are_kept() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, address):
-            caller, before = await Caller.to(address), alive()
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, address):
+            caller, before = await RespClient.connect(address), alive()
             for number in range(60):
                 told = SETTINGS | {
                     "family-info": {"counter": number % 2 == 0, "count-wait-s": 0.1},
                     "contracts": [PLAN | {"refill": 100.0 + number}],
                 }
                 assert not await served.changes.change(like(served, counter="127.0.0.1:1", settings=told), "reload")
-                assert await caller.ask(command()) == b"00000000000000aa"
+                assert await caller.request(command()) == b"00000000000000aa"
             assert len(served.changes.versions.versions) == MAX_VERSIONS
             more = {kind: count - before[kind] for kind, count in alive().items()}
             assert more[Config] <= MAX_VERSIONS and more[Settings] <= MAX_VERSIONS and more[CounterClient] <= 1
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("count", [10_000])
@@ -406,7 +406,7 @@
 @asynccontextmanager
 async def pair(peer: Peer, path: Path) -> AsyncIterator[tuple[Ingress, Ingress]]:
     async with process(plain(peer), path) as (first, _), process(plain(peer), path) as (second, _):
-        await until(lambda: first.process_group.successor is not None)
+        await wait_until(lambda: first.process_group.successor is not None)
         yield first, second
 
 
@@ -417,22 +417,22 @@
 @pytest.mark.parametrize("at", [0, 1])
 def test_two_processes_change_and_revert_together_wherever_it_is_asked(at: int, tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer, pair(peer, tmp_path / "there") as both:
+        async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             asked = both[at]
             assert not await asked.changes.change(like(asked, settings=with_plan(refill=7.0)), "reload")
-            await until(lambda: rates(*both) == [7.0, 7.0])
+            await wait_until(lambda: rates(*both) == [7.0, 7.0])
             assert both[0].config.digest == both[1].config.digest
             assert await asked.changes.revert() == "ok"
-            await until(lambda: rates(*both) == [100.0, 100.0])
+            await wait_until(lambda: rates(*both) == [100.0, 100.0])
             assert await asked.changes.revert() == "fail there is no generation before"
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("at", [0, 1])
 def test_if_either_refuses_both_stay(at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        async with backend() as peer, pair(peer, tmp_path / "there") as both:
+        async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             for refusing in both:
                 with monkeypatch.context() as patch:
                     patch.setattr(refusing.changes, "prepare", lambda document: Preparation("not this one"))
@@ -441,40 +441,40 @@
                 assert rates(*both) == [100.0, 100.0] and not both[1].changes.agreement.prepared
                 assert both[at].changes.versions.last_rejection.endswith("not this one")
 
-    run(body())
+    run_async(body())
 
 
 def test_one_that_says_nothing_in_time_leaves_both_on_the_old_generation(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
-        async with backend() as peer, pair(peer, tmp_path / "there") as both:
+        async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             monkeypatch.setattr(both[1].changes.agreement, "receive", lambda link, message: None)
             new = like(both[0], settings=with_plan(refill=7.0))
             assert await both[0].changes.change(new, "reload") == NO_REPLY
             assert rates(*both) == [100.0, 100.0]
 
-    run(body())
+    run_async(body())
 
 
 def test_when_the_other_dies_while_it_prepares_the_survivor_goes_on_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
-        async with backend() as peer, pair(peer, tmp_path / "there") as both:
+        async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             assert both[1].process_group.links is not None
             monkeypatch.setattr(both[1].changes.agreement, "receive", lambda link, message: link.transport.abort())
             assert not await both[0].changes.change(like(both[0], settings=with_plan(refill=7.0)), "reload")
             assert rates(both[0]) == [7.0] and not both[0].process_group.links.links  # type: ignore[union-attr]
 
-    run(body())
+    run_async(body())
 
 
 def test_when_the_eldest_dies_before_it_says_commit_the_survivor_stays_and_can_lead(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
-        async with backend() as peer, pair(peer, tmp_path / "there") as both:
+        async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             first, second = both
             new = like(second, settings=with_plan(refill=7.0))
             assert second.process_group.predecessor() is not None
@@ -482,61 +482,61 @@
             for link in list(first.process_group.links.links):  # type: ignore[union-attr]
                 assert link.transport is not None
                 link.transport.abort()
-            await until(lambda: second.process_group.predecessor() is None)
+            await wait_until(lambda: second.process_group.predecessor() is None)
             assert not second.changes.agreement.prepared and rates(second) == [100.0]
             assert not await second.changes.change(new, "reload") and rates(second) == [7.0]
 
-    run(body())
+    run_async(body())
 
 
 def test_a_process_that_comes_runs_what_the_one_before_runs_whatever_its_file_says(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(plain(peer), path) as (first, _):
+        async with fake_endpoint() as peer, process(plain(peer), path) as (first, _):
             assert not await first.changes.change(like(first, settings=with_plan(refill=7.0)), "reload")
             async with process(plain(peer), path) as (second, _):
                 assert rates(first, second) == [7.0, 7.0]
                 assert second.changes.versions.current.cause == "take over"
                 assert not await second.changes.change(like(second, settings=with_plan(refill=8.0)), "reload")
-                await until(lambda: rates(first, second) == [8.0, 8.0])
-            await until(lambda: first.process_group.listen_task and first.process_group.listen_task.done())
+                await wait_until(lambda: rates(first, second) == [8.0, 8.0])
+            await wait_until(lambda: first.process_group.listen_task and first.process_group.listen_task.done())
             async with process(plain(peer), path) as (third, _):
                 for link in list(first.process_group.links.links):  # type: ignore[union-attr]
                     assert link.transport is not None
                     link.transport.abort()
-                await until(lambda: third.process_group.predecessor() is None)
+                await wait_until(lambda: third.process_group.predecessor() is None)
                 # It can go back as far as the one that is gone could.
                 for rate in (7.0, 100.0):
                     assert await third.changes.revert() == "ok" and rates(third) == [rate]
                 assert await third.changes.revert() == "fail there is no generation before"
 
-    run(body())
+    run_async(body())
 
 
 def test_one_that_came_while_the_others_prepared_is_not_left_behind(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer, pair(peer, tmp_path / "there") as both:
+        async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             new = like(both[0], settings=with_plan(refill=7.0))
             commit = CommitMessage("never prepared", dict(new.document), "reload", is_revert=False)
             both[0].changes.agreement._broadcast(commit)
-            await until(lambda: rates(both[1]) == [7.0])
+            await wait_until(lambda: rates(both[1]) == [7.0])
 
-    run(body())
+    run_async(body())
 
 
 def test_changes_and_reverts_at_once_at_both_end_on_one_generation(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer, pair(peer, tmp_path / "there") as both:
+        async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             for turn in range(10):
                 await asyncio.gather(
                     both[0].changes.change(like(both[0], settings=with_plan(refill=10.0 + turn)), "reload"),
                     both[1].changes.change(like(both[1], settings=with_plan(refill=50.0 + turn)), "reload"),
                     both[turn % 2].changes.revert(),
                 )
-                await until(lambda: both[0].config.digest == both[1].config.digest)
+                await wait_until(lambda: both[0].config.digest == both[1].config.digest)
             assert rates(both[0]) == rates(both[1])
 
-    run(body())
+    run_async(body())
 
 
 # Real processes
@@ -551,17 +551,17 @@
 
 def test_changes_good_and_bad_under_a_steady_flow_lose_nothing_and_leave_nothing(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer, program(peer, tmp_path) as (process, address):
+        async with fake_endpoint() as peer, program(peer, tmp_path) as (process, address):
             path = tmp_path / "config.json"
             good = json.loads(path.read_text(encoding="utf-8"))
             over, answers, asked = asyncio.Event(), list[Any](), 0
 
             async def flow(number: int) -> None:
                 nonlocal asked
-                caller = await Caller.to(address)
+                caller = await RespClient.connect(address)
                 while not over.is_set():
                     asked += 1
-                    answers.append(await caller.ask(command(f"{number}-{asked}", customer=number)))
+                    answers.append(await caller.request(command(f"{number}-{asked}", customer=number)))
                     await asyncio.sleep(0.02)  # inside every quota
                 caller.writer.close()
 
@@ -595,29 +595,29 @@
             assert len(os.listdir(fds)) <= before
             assert process.returncode is None
 
-    run(body())
+    run_async(body())
 
 
 def test_a_signal_in_a_drain_changes_nothing_for_those_that_are_served(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer, program(peer, tmp_path) as (process, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(command("one")) == b"one"
+        async with fake_endpoint() as peer, program(peer, tmp_path) as (process, address):
+            caller = await RespClient.connect(address)
+            assert await caller.request(command("one")) == b"one"
             process.send_signal(signal.SIGTERM)
             process.send_signal(signal.SIGHUP)
-            assert await caller.ask(command("two")) == b"two"
+            assert await caller.request(command("two")) == b"two"
             assert await process.wait() == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_a_signal_in_start_up_is_not_lost(tmp_path: Path) -> None:
     """As soon as the program catches it, long before it serves."""
 
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             address, path = ("127.0.0.1", free_port()), tmp_path / "config.json"
-            text = config_text(entry(peer.address), listen=f"127.0.0.1:{address[1]}")
+            text = config_text(endpoint_entry(peer.address), listen=f"127.0.0.1:{address[1]}")
             path.write_text(text, encoding="utf-8")
             process = await start(path)
             try:
@@ -625,15 +625,15 @@
                 while not int(status.read_text().partition("SigCgt:")[2].split()[0], 16) & 1:
                     await asyncio.sleep(0.001)
                 process.send_signal(signal.SIGHUP)
-                await until(lambda: process.returncode is not None or listens(address))
+                await wait_until(lambda: process.returncode is not None or listens(address))
                 assert process.returncode is None
-                caller = await Caller.to(address)
-                assert await caller.ask(command()) == b"00000000000000aa"
+                caller = await RespClient.connect(address)
+                assert await caller.request(command()) == b"00000000000000aa"
             finally:
                 process.kill()
                 await process.wait()
 
-    run(body())
+    run_async(body())
 
 
 def listens(address: tuple[str, int]) -> bool:
@@ -643,36 +643,36 @@
 
 def test_a_silent_discovery_and_a_silent_counter_leave_the_list_in_use() -> None:
     async def body() -> None:
-        async with backend() as peer, backend(b"") as silent, serving(plain(peer)) as (served, address):
-            caller = await Caller.to(address)
+        async with fake_endpoint() as peer, fake_endpoint(b"") as silent, serving(plain(peer)) as (served, address):
+            caller = await RespClient.connect(address)
             at = f"127.0.0.1:{silent.address[1]}"
             told = SETTINGS | {"family-info": {"counter": True, "count-wait-s": 0.1}}
             assert not await served.changes.change(like(served, discovery=at, counter=at, settings=told), "reload")
-            await until(lambda: silent.connections)
+            await wait_until(lambda: silent.connections)
             for _ in range(5):
-                assert await caller.ask(command()) == b"00000000000000aa"
+                assert await caller.request(command()) == b"00000000000000aa"
             assert served.pool.listed_count() == 1
 
-    run(body())
+    run_async(body())
 
 
 def test_a_revert_is_answered_in_time_while_another_change_does_not_end() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
             assert not await served.changes.change(like(served, settings=with_plan(refill=7.0)), "reload")
             async with served.changes.agreement.lock:
                 assert await said(served, b"revert") == f"fail {UNDER_WAY}"
             assert await said(served, b"revert") == "ok"
             assert LOCK_TIMEOUT_S + PREPARE_TIMEOUT_S < 1.0 and PROPOSAL_TIMEOUT_S < 1.0
 
-    run(body())
+    run_async(body())
 
 
 def test_a_fault_in_one_reload_does_not_end_those_that_come_after(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
             path, reload = tmp_path / "config.json", asyncio.Event()
             path.write_text(
                 json.dumps(
@@ -688,10 +688,10 @@
             monkeypatch.setattr("ingress.__main__.load_config", faulty)
             task = asyncio.create_task(reload_on_event(str(path), served, reload))
             reload.set()
-            await until(lambda: any("a fault" in line for line in served.changes.versions.lines()))
+            await wait_until(lambda: any("a fault" in line for line in served.changes.versions.lines()))
             reload.set()
-            await until(lambda: served.settings.plans[0].rate == 7.0)
+            await wait_until(lambda: served.settings.plans[0].rate == 7.0)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -9,7 +9,20 @@
 
 from ingress.server import lingering_connection
 from ingress.server.response_slot import ResponseSlot
-from tests.peers import Caller, Peer, Reader, Writer, backend, command, config, entry, read_command, run, until, value
+from tests.peers import (
+    Peer,
+    Reader,
+    RespClient,
+    Writer,
+    command,
+    config,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
+    read_command,
+    run_async,
+    wait_until,
+)
 from tests.test_net_ingress import Stub, send, serving
 
 ANSWER_BYTES = 60_000
@@ -48,54 +61,54 @@
         while True:
             commands.append((await read_command(reader))[2])
             await answer.wait()
-            writer.write(value(b"x" * ANSWER_BYTES))
+            writer.write(endpoint_answer(b"x" * ANSWER_BYTES))
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address, 4096)  # Most of the answer waits in the buffers of the kernel.
             client.send(command("first"))
-            await until(lambda: commands)
+            await wait_until(lambda: commands)
             served.clients.set_draining(True)
             if not late:
                 client.send(command("behind") * 50)
                 await asyncio.sleep(0.05)  # Long enough for the event loop to read it.
             answer.set()
-            await until(lambda: not served.requests.in_flight)
+            await wait_until(lambda: not served.requests.in_flight)
             if late:
                 client.send(command("behind") * 50)
                 await asyncio.sleep(0.05)
             assert await read_to_eof(client) == b"$%d\r\n%b\r\n" % (ANSWER_BYTES, b"x" * ANSWER_BYTES)
             client.close()
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
             assert commands == [b"first"]
 
-    run(body())
+    run_async(body())
 
 
 def test_a_request_between_the_last_idle_check_and_the_close_is_not_forwarded_and_causes_no_reset() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(command("first"))
-            await until(lambda: peer.commands and not served.requests.in_flight)
+            await wait_until(lambda: peer.commands and not served.requests.in_flight)
             [connection] = served.clients.connections
             assert connection.is_idle()
             connection.close_gracefully()
             client.send(command("second"))
             assert await read_to_eof(client) == b"$5\r\nfirst\r\n"
             client.close()
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
             assert [words[2] for words in peer.commands] == [b"first"]
 
-    run(body())
+    run_async(body())
 
 
 def test_a_connection_with_an_unread_request_is_not_idle() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(command("first"))
-            await until(lambda: peer.commands and not served.requests.in_flight)
+            await wait_until(lambda: peer.commands and not served.requests.in_flight)
             [connection] = served.clients.connections
             client.send(command("second"))
             served.clients.set_draining(True)  # The event loop has not reported the request yet.
@@ -104,41 +117,41 @@
             assert await read_to_eof(client) == b"$5\r\nfirst\r\n$6\r\nsecond\r\n"
             client.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_client_that_does_not_close_its_side_is_disconnected_after_a_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lingering_connection, "LINGER_TIMEOUT", 0.1)
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(command("first"))
-            await until(lambda: peer.commands and not served.requests.in_flight)
+            await wait_until(lambda: peer.commands and not served.requests.in_flight)
             [connection] = served.clients.connections
             connection.close_gracefully()
             assert await read_to_eof(client) == b"$5\r\nfirst\r\n"
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
             client.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_flood_after_the_close_is_read_only_up_to_a_limit() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(b"nonsense\r\n")
-            await until(lambda: served.clients.malformed_count)
+            await wait_until(lambda: served.clients.malformed_count)
             loop = asyncio.get_running_loop()
             with pytest.raises((BrokenPipeError, ConnectionResetError)):
                 for _ in range(100):
                     await loop.sock_sendall(client, bytes(lingering_connection.LINGER_BYTES))
             client.close()
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
             assert not peer.commands
 
-    run(body())
+    run_async(body())
 
 
 def test_reading_resumes_after_a_cancelled_drain() -> None:
@@ -148,29 +161,29 @@
         while True:
             words = await read_command(reader)
             await answer.wait()
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = Stub(send)  # type: ignore[assignment]
-            client = await Caller.to(address)
+            client = await RespClient.connect(address)
             client.writer.write(command("first"))
-            await until(lambda: served.requests.attempts_in_flight)
+            await wait_until(lambda: served.requests.attempts_in_flight)
             served.clients.set_draining(True)
             client.writer.write(command("second"))
             served.clients.set_draining(False)
             answer.set()
-            assert await client.answer() == b"first"
-            assert await client.answer() == b"second"
+            assert await client.read_answer() == b"first"
+            assert await client.read_answer() == b"second"
 
-    run(body())
+    run_async(body())
 
 
 def test_responses_after_an_aborted_one_are_not_sent() -> None:
     """When a connection is closed in the middle of a value, the later commands on it get no response."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             assert await asyncio.get_running_loop().sock_recv(client, 100) == b"+PONG\r\n"
@@ -182,20 +195,20 @@
             later.send_answer(b"+OK\r\n")
             assert await read_to_eof(client) == b""
             client.close()
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
             assert not peer.commands
 
-    run(body())
+    run_async(body())
 
 
 def test_connections_that_were_busy_at_the_limit_are_closed_once_they_are_idle() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(8)
             busy = [await connect(address) for _ in range(8)]
             for client in busy:
                 client.send(b"*")  # A command has begun, so none of these connections is idle.
-            await until(lambda: served.clients.acceptor.is_full)
+            await wait_until(lambda: served.clients.acceptor.is_full)
             for connection in served.clients.connections:
                 connection.data_received(b"1\r\n$4\r\nPING\r\n")
             last = await connect(address)
@@ -203,4 +216,4 @@
             assert await asyncio.get_running_loop().sock_recv(last, 100) == b"$4\r\nlast\r\n"
             assert len(served.clients.connections) <= 8 == len(busy)
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_config.py
+++ b/tests/test_net_config.py
@@ -12,13 +12,13 @@
 
 from ingress.configuration.document import ConfigError, load_config, read_config
 from ingress.runtime.files import MAX_BYTES
-from tests.peers import SETTINGS, config_text, entry
+from tests.peers import SETTINGS, config_text, endpoint_entry
 
 ROOT = Path(__file__).resolve().parent.parent
 
 
 def test_a_configuration() -> None:
-    config = read_config(config_text(entry(("127.0.0.1", 6379)), listen="127.0.0.1:6380"))
+    config = read_config(config_text(endpoint_entry(("127.0.0.1", 6379)), listen="127.0.0.1:6380"))
     assert config.listen == ("127.0.0.1", 6380) and config.seed == 0x8C1F30D27A5BE964
     assert config.max_client_connections + config.max_endpoint_connections < 1024
     assert [b.id for b in config.initial_endpoints.endpoints] == ["s1"]
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -33,19 +33,19 @@
 from ingress.upstream import connection_pool as pools
 from tests.peers import (
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
     resp,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_backends import PoolUnderTest
 from tests.test_net_ingress import Stub, serving
@@ -60,8 +60,8 @@
     sock.setsockopt(socket.SOL_SOCKET, 26, struct.pack("HL", 1, ctypes.addressof(buffer)))  # SO_ATTACH_FILTER
 
 
-async def from_address(host: str, to: Address) -> Caller:
-    return Caller(*await asyncio.open_connection(*to, local_addr=(host, 0)))
+async def from_address(host: str, to: Address) -> RespClient:
+    return RespClient(*await asyncio.open_connection(*to, local_addr=(host, 0)))
 
 
 # Connection limits per address
@@ -93,23 +93,23 @@
 
 def test_flood_from_one_address_leaves_connections_for_other_addresses() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(60)
             served.clients.shares.guaranteed = 20
             others = [await from_address(f"127.0.1.{n}", address) for n in range(1, 6)]
             flood = [await from_address("127.0.0.1", address) for _ in range(100)]
             for other in others:
-                assert await other.ask(command()) == b"00000000000000aa"
+                assert await other.request(command()) == b"00000000000000aa"
             fresh = [await from_address(f"127.0.2.{n}", address) for n in range(1, 26)]
-            assert [await one.ask(PING) for one in fresh] == [b"PONG"] * 25
-            assert [await one.ask(PING) for one in others] == [b"PONG"] * 5  # none of them was closed
+            assert [await one.request(PING) for one in fresh] == [b"PONG"] * 25
+            assert [await one.request(PING) for one in others] == [b"PONG"] * 5  # none of them was closed
             held = Counter(c.peer for c in served.clients.connections)
             assert held["127.0.0.1"] <= 30 and len(served.clients.connections) <= 60
             assert served.clients.shares.total == len(served.clients.connections)
             for caller in flood:
                 caller.writer.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_address_over_its_share_loses_its_own_idle_connection_or_gets_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -119,33 +119,33 @@
             served.clients.shares.guaranteed = 8
             served.gateway.handle = Stub(lambda event: []).handle  # type: ignore[method-assign]
             first = await from_address("127.0.3.1", address)
-            assert await first.ask(PING) == b"PONG"
+            assert await first.request(PING) == b"PONG"
             busy = [await from_address("127.0.0.1", address) for _ in range(10)]
             for n, caller in enumerate(busy):  # each waits for an answer, so none is idle
                 caller.writer.write(command(f"{n}", d=20_000))
-            await until(lambda: len(served.requests.in_flight) == 10)
+            await wait_until(lambda: len(served.requests.in_flight) == 10)
             extra = await from_address("127.0.0.1", address)
             with pytest.raises((EOFError, ConnectionError)):
-                answer = await extra.ask(PING)
+                answer = await extra.request(PING)
                 assert isinstance(answer, hiredis.ReplyError) and "too many connections" in str(answer)
-                await extra.answer()
+                await extra.read_answer()
             assert served.clients.rejected_count >= 1
-            assert await (await from_address("127.0.3.2", address)).ask(PING) == b"PONG"
+            assert await (await from_address("127.0.3.2", address)).request(PING) == b"PONG"
             assert len(served.requests.in_flight) == 10  # no request of the flood was cancelled either
 
-    run(body())
+    run_async(body())
 
 
 def test_single_address_may_use_all_connections() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(40)
             served.clients.shares.guaranteed = 10
             callers = [await from_address("127.0.0.1", address) for _ in range(38)]
-            assert [await caller.ask(PING) for caller in callers] == [b"PONG"] * 38
+            assert [await caller.request(PING) for caller in callers] == [b"PONG"] * 38
             assert served.clients.rejected_count == 0
 
-    run(body())
+    run_async(body())
 
 
 # A surge of connections
@@ -153,10 +153,10 @@
 
 def test_surge_of_connections_is_accepted_in_batches_between_requests() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(400)
-            steady = await Caller.to(address)
-            assert await steady.ask(command()) == b"00000000000000aa"
+            steady = await RespClient.connect(address)
+            assert await steady.request(command()) == b"00000000000000aa"
             batches: list[int] = []
             on_accept = served.clients.acceptor.on_accept
             accepted_in_batch = [0]
@@ -177,13 +177,13 @@
             served.clients.acceptor.loop.remove_reader(served.clients.acceptor.socket)
             served.clients.acceptor.loop.add_reader(served.clients.acceptor.socket, counted_batch)
             surge = [socket.create_connection(address) for _ in range(200)]  # the event loop is blocked meanwhile
-            assert await steady.ask(command("1" * 16)) == b"1" * 16
-            await until(lambda: len(served.clients.connections) == 201)
+            assert await steady.request(command("1" * 16)) == b"1" * 16
+            await wait_until(lambda: len(served.clients.connections) == 201)
             assert max(batches) <= listener.ACCEPT_BATCH_SIZE < 200 and sum(batches) == 200
             for sock in surge:
                 sock.close()
 
-    run(body())
+    run_async(body())
 
 
 # Exhausted descriptors
@@ -230,7 +230,7 @@
             for sock in held:
                 sock.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_accept_without_descriptors_pauses_instead_of_spinning(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -248,16 +248,16 @@
         acceptor.socket = exhausted  # type: ignore[assignment]
         acceptor.open()
         waiting = socket.create_connection(exhausted.sock.getsockname())
-        await until(lambda: acceptor.exhausted_count >= 4)
+        await wait_until(lambda: acceptor.exhausted_count >= 4)
         assert exhausted.accept_calls == acceptor.exhausted_count  # one call a pause: the loop is free in between
         assert not acceptor.is_reading
         exhausted.is_exhausted = False
-        await until(lambda: accepted)
+        await wait_until(lambda: accepted)
         assert acceptor.is_reading
         acceptor.close()
         waiting.close()
 
-    run(body())
+    run_async(body())
 
 
 @pytest.fixture
@@ -277,9 +277,9 @@
     monkeypatch.setattr("ingress.configuration.document.usable_sockets", lambda sockets: sockets)
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
-            steady = await Caller.to(address)
-            assert await steady.ask(command()) == b"00000000000000aa"
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            steady = await RespClient.connect(address)
+            assert await steady.request(command()) == b"00000000000000aa"
             # Clients in another process use up all descriptors that this one may open.
             flood = subprocess.Popen(
                 [
@@ -299,20 +299,20 @@
             assert flood.stdin is not None and flood.stdout is not None
             try:
                 assert await asyncio.to_thread(flood.stdout.readline) == b"held\n"
-                await until(lambda: served.clients.acceptor.exhausted_count)
+                await wait_until(lambda: served.clients.acceptor.exhausted_count)
                 used = time.process_time()
                 for n in range(20):
-                    assert await steady.ask(command(f"{n:016x}")) == f"{n:016x}".encode()
+                    assert await steady.request(command(f"{n:016x}")) == f"{n:016x}".encode()
                 assert time.process_time() - used < 5
             finally:
                 flood.stdin.close()
                 flood.wait()
                 flood.stdout.close()
-            await until(lambda: len(served.clients.connections) <= 2)
-            late = await Caller.to(address)
-            assert await late.ask(PING) == b"PONG"
+            await wait_until(lambda: len(served.clients.connections) <= 2)
+            late = await RespClient.connect(address)
+            assert await late.request(PING) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 # Connections to endpoints
@@ -326,60 +326,60 @@
             while True:
                 words = await read_command(reader)
                 await go.wait()
-                writer.write(value(words[2]))
+                writer.write(endpoint_answer(words[2]))
 
         async with Peer(script) as peer:
             pool = PoolUnderTest(peer.address, max_connections=64)
             for _ in range(3):
                 pool.send()
-            await until(lambda: len(peer.tasks) == 3)
+            await wait_until(lambda: len(peer.tasks) == 3)
             assert pool.pool.opened_count == 3
             cancelled = pool.send()  # opens a fourth, and is cancelled before that is established
             pool.pool.cancel_attempt(cancelled)
             pool.send()
             assert pool.pool.opened_count == 4  # the next attempt waits for it rather than opening a fifth
             go.set()
-            await until(lambda: len(pool.results) == 5)
+            await wait_until(lambda: len(pool.results) == 5)
             assert Counter(outcome for _, outcome, _ in pool.results) == {Outcome.OK: 4, Outcome.CANCELLED: 1}
             # The last attempt may have used a released connection before the fourth is established.
-            await until(lambda: not pool.pool.connecting)
+            await wait_until(lambda: not pool.pool.connecting)
             assert pool.pool.connection_count == pool.pool.opened_count == 4
 
-    run(body())
+    run_async(body())
 
 
 def test_concurrent_connects_to_an_endpoint_are_limited_and_all_attempts_are_served() -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address, max_connections=200, timeout=5.0)
             for _ in range(50):
                 pool.send()
             target = pool.pool.endpoints["s0"]
             assert target.connecting == pools.MAX_CONNECTING_PER_ENDPOINT == pool.pool.connecting
-            await until(lambda: len(pool.results) == 50)
+            await wait_until(lambda: len(pool.results) == 50)
             assert {outcome for _, outcome, _ in pool.results} == {Outcome.OK}
             assert pool.pool.opened_count < 50  # most attempts used connections that others had released
             assert not target.waiting_attempts
-            await until(lambda: not pool.pool.connecting)  # unneeded connections are established as well
+            await wait_until(lambda: not pool.pool.connecting)  # unneeded connections are established as well
             assert not target.connecting
 
-    run(body())
+    run_async(body())
 
 
 def test_limit_over_all_endpoints_lets_each_endpoint_connect(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(pools, "MAX_CONNECTING", 3)
 
     async def body() -> None:
-        async with backend() as one, backend() as two, backend() as three:
+        async with fake_endpoint() as one, fake_endpoint() as two, fake_endpoint() as three:
             pool = PoolUnderTest(one.address, two.address, three.address, max_connections=200, timeout=5.0)
             for n in range(30):
                 pool.send(f"s{n % 3}")
             assert pool.pool.connecting == 3
-            await until(lambda: len(pool.results) == 30)
+            await wait_until(lambda: len(pool.results) == 30)
             assert {outcome for _, outcome, _ in pool.results} == {Outcome.OK}
             assert not pool.pool.connect_queue
 
-    run(body())
+    run_async(body())
 
 
 def test_refused_connect_ends_every_waiting_attempt() -> None:
@@ -387,19 +387,19 @@
         pool = PoolUnderTest(("127.0.0.1", 1), max_connections=64)
         for _ in range(20):
             pool.send()
-        await until(lambda: len(pool.results) == 20)
+        await wait_until(lambda: len(pool.results) == 20)
         assert {outcome for _, outcome, _ in pool.results} == {Outcome.CONNECT_FAILED}
         assert not pool.pool.endpoints["s0"].waiting_attempts
         # All that have waited for the connect timeout end with the first refusal, before the other connects end.
-        await until(lambda: not pool.pool.connection_count)
+        await wait_until(lambda: not pool.pool.connection_count)
         assert not pool.pool.connecting
 
-    run(body())
+    run_async(body())
 
 
 def test_waiting_attempts_follow_a_moved_endpoint_and_end_with_a_removed_one() -> None:
     async def body() -> None:
-        async with backend() as old, backend() as new:
+        async with fake_endpoint() as old, fake_endpoint() as new:
             pool = PoolUnderTest(old.address, max_connections=64, timeout=5.0)
             pool.send()
             pool.update_endpoints((Endpoint("s0"), new.address))  # it moves while the connection is being established
@@ -408,10 +408,10 @@
             pool.send()
             pool.update_endpoints()  # removed from the list
             pool.clock_offset += 5.0
-            await until(lambda: len(pool.results) == 2)
+            await wait_until(lambda: len(pool.results) == 2)
             assert pool.pool.connection_count <= 1
 
-    run(body())
+    run_async(body())
 
 
 # Peers that vanish
@@ -425,7 +425,7 @@
 
         async def script(number: int, reader: Reader, writer: Writer) -> None:
             words = await read_command(reader)
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
             if number == 0:
                 await writer.drain()
                 asked.set()
@@ -442,14 +442,14 @@
             assert (await pool.result(2))[0] is Outcome.RESET  # it may have run
             assert pool.pool.clock() - started_at < 10.0 and attempt.has_ended
 
-    run(body())
+    run_async(body())
 
 
 def test_client_connections_enable_keepalive() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(PING) == b"PONG"
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
+            assert await caller.request(PING) == b"PONG"
             [client] = served.clients.connections
             options = {
                 socket.TCP_USER_TIMEOUT: int(sockets.UNACKNOWLEDGED_TIMEOUT_S * 1000),
@@ -460,7 +460,7 @@
             assert {key: client.socket.getsockopt(socket.IPPROTO_TCP, key) for key in options} == options
             assert client.socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
 
-    run(body())
+    run_async(body())
 
 
 def test_vanished_client_is_closed_when_it_acknowledges_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -472,20 +472,20 @@
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             words = await read_command(reader)
             await go.wait()
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
             await reader.read()
 
         monkeypatch.setattr(sockets.enable_keepalive, "__defaults__", (0.3,))
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(command(d=10_000))
-            await until(lambda: served.requests.in_flight)
+            await wait_until(lambda: served.requests.in_flight)
             drop_all(caller.writer.get_extra_info("socket"))
             go.set()  # the answer is sent and never acknowledged
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
             assert not served.requests.in_flight
 
-    run(body())
+    run_async(body())
 
 
 def test_stopped_client_process_is_closed_when_it_reads_nothing(
@@ -495,7 +495,10 @@
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL", 0.05)
 
     async def body() -> None:
-        async with backend(value(bytes(60_000))) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with (
+            fake_endpoint(endpoint_answer(bytes(60_000))) as peer,
+            serving(config(endpoint_entry(peer.address))) as (served, address),
+        ):
             asks = command(d=10_000) * 60
             child = subprocess.Popen(
                 [
@@ -517,17 +520,17 @@
                 assert await asyncio.to_thread(child.stdout.readline) == b"up\n"
                 child.stdin.write(b"\n")
                 child.stdin.flush()
-                await until(lambda: served.requests.received_count)
+                await wait_until(lambda: served.requests.received_count)
                 child.send_signal(signal.SIGSTOP)
-                await until(lambda: not served.clients.connections)
-                await until(lambda: not served.requests.in_flight)
+                await wait_until(lambda: not served.clients.connections)
+                await wait_until(lambda: not served.requests.in_flight)
             finally:
                 child.kill()
                 child.wait()
                 child.stdin.close()
                 child.stdout.close()
 
-    run(body())
+    run_async(body())
 
 
 # Time spent in socket buffers
@@ -539,23 +542,23 @@
     """
 
     async def body() -> None:
-        async with backend(b"") as silent, serving(config(entry(silent.address))) as (served, address):
+        async with fake_endpoint(b"") as silent, serving(config(endpoint_entry(silent.address))) as (served, address):
             for fresh in (False, True):  # on an accepted connection, and on one in the backlog
                 sock = socket.create_connection(address)
-                caller = Caller(*await asyncio.open_connection(sock=sock)) if not fresh else None
+                caller = RespClient(*await asyncio.open_connection(sock=sock)) if not fresh else None
                 if caller is not None:
-                    assert await caller.ask(resp(b"PING")) == b"PONG"
+                    assert await caller.request(resp(b"PING")) == b"PONG"
                 started_at = time.monotonic()
                 sock.send(command(d=1500))
                 time.sleep(1.0)  # the event loop is blocked
-                caller = caller or Caller(*await asyncio.open_connection(sock=sock))
-                answer = await caller.answer()
+                caller = caller or RespClient(*await asyncio.open_connection(sock=sock))
+                answer = await caller.read_answer()
                 assert isinstance(answer, hiredis.ReplyError)
                 assert 1.0 < time.monotonic() - started_at < 2.2, "2.5 s if measured from the time of reading"
                 caller.writer.close()
             assert served.metrics.requests_in_flight == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_seconds_since_last_receive_restarts_with_new_data() -> None:
--- a/tests/test_net_control.py
+++ b/tests/test_net_control.py
@@ -11,19 +11,19 @@
 from ingress.ingress import Ingress
 from tests.peers import (
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
     resp,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_ingress import serving
 
@@ -62,7 +62,7 @@
         async with serving(config(control=SECOND)) as (served, _):
             assert await call(served, line) == answer + "\n"
 
-    run(body())
+    run_async(body())
 
 
 def test_an_answer_is_not_lost_when_its_client_sends_more_after_the_command() -> None:
@@ -75,16 +75,16 @@
             sock.setblocking(False)
             sock.send(b"show-stat\n")
             assert served.admin_server is not None
-            await until(lambda: any(caller.has_command for caller in served.admin_server.connections))  # type: ignore[union-attr]
+            await wait_until(lambda: any(caller.has_command for caller in served.admin_server.connections))  # type: ignore[union-attr]
             sock.send(b"x" * 1000)
             answer = b""
             while data := await loop.sock_recv(sock, 100):
                 answer += data
             assert answer.endswith(b"eof\n")
             sock.close()
-            await until(lambda: not served.admin_server.connections)  # type: ignore[union-attr]
+            await wait_until(lambda: not served.admin_server.connections)  # type: ignore[union-attr]
 
-    run(body())
+    run_async(body())
 
 
 def test_without_an_admin_address_there_is_no_admin_server() -> None:
@@ -92,7 +92,7 @@
         async with serving(config()) as (served, _):
             assert served.admin_server is None
 
-    run(body())
+    run_async(body())
 
 
 def test_the_environment_can_set_the_admin_address(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -114,7 +114,7 @@
             silent[3][1].write(b"dy\n")
             assert await silent[3][0].read() == b"ok\n"
 
-    run(body())
+    run_async(body())
 
 
 def test_a_client_that_stays_silent_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -126,7 +126,7 @@
             reader, _writer = await asyncio.open_connection(*admin_address(served))
             assert await reader.read() == b""
 
-    run(body())
+    run_async(body())
 
 
 def test_the_drain_command_disconnects_clients_and_resume_cancels_the_drain() -> None:
@@ -137,38 +137,41 @@
             words = await read_command(reader)
             if words[2] == b"slow":
                 await ended.wait()
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
         async with (
             Peer(script) as peer,
-            serving(config(entry(peer.address), entry(peer.address, "s2"), control=SECOND)) as (served, address),
+            serving(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"), control=SECOND)) as (
+                served,
+                address,
+            ),
         ):
-            slow = await Caller.to(address)
-            idle = await Caller.to(address)
+            slow = await RespClient.connect(address)
+            idle = await RespClient.connect(address)
             slow.writer.write(command("slow"))
-            assert await idle.ask(command("before")) == b"before"
+            assert await idle.request(command("before")) == b"before"
             assert await call(served, b"drain") == "ok\n"
-            assert str(await idle.ask(resp(b"PING"))) == "ERR draining"
-            assert await idle.ask(command("after")) == b"after"  # Open connections are served during a drain.
+            assert str(await idle.request(resp(b"PING"))) == "ERR draining"
+            assert await idle.request(command("after")) == b"after"  # Open connections are served during a drain.
             with pytest.raises(EOFError):
-                await idle.answer()
-            late = await Caller.to(address)  # The listener stays open.
-            assert await late.ask(command("late")) == b"late"
+                await idle.read_answer()
+            late = await RespClient.connect(address)  # The listener stays open.
+            assert await late.request(command("late")) == b"late"
             with pytest.raises(EOFError):
-                await late.answer()
+                await late.read_answer()
             ended.set()
-            assert await slow.answer() == b"slow"
+            assert await slow.read_answer() == b"slow"
             with pytest.raises(EOFError):
-                await slow.answer()
-            await until(lambda: not served.clients.connections)
+                await slow.read_answer()
+            await wait_until(lambda: not served.clients.connections)
             assert await call(served, b"resume") == "ok\n"
-            fresh = await Caller.to(address)
-            assert await fresh.ask(resp(b"PING")) == b"PONG"
-            assert await fresh.ask(command("fresh")) == b"fresh"
-            assert await fresh.ask(resp(b"PING")) == b"PONG"  # The connection stays open.
+            fresh = await RespClient.connect(address)
+            assert await fresh.request(resp(b"PING")) == b"PONG"
+            assert await fresh.request(command("fresh")) == b"fresh"
+            assert await fresh.request(resp(b"PING")) == b"PONG"  # The connection stays open.
 
-    run(body())
+    run_async(body())
 
 
 def test_a_command_sent_after_a_request_in_flight_is_not_read_during_a_drain() -> None:
@@ -177,37 +180,40 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         peer.commands.append(await read_command(reader))
         await answer.wait()
-        writer.write(value(b"one"))
+        writer.write(endpoint_answer(b"one"))
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address), control=SECOND)) as (served, address):
-            caller = await Caller.to(address)
+        async with peer, serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(command("one"))
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.commands)
             await call(served, b"drain")
             await served.shutdown.clients_may_close.wait()
             caller.writer.write(command("two"))
             answer.set()
-            assert await caller.answer() == b"one"
+            assert await caller.read_answer() == b"one"
             with pytest.raises(EOFError):
-                await caller.answer()
+                await caller.read_answer()
             assert served.requests.received_count == 1
 
     peer = Peer(script)
-    run(body())
+    run_async(body())
 
 
 def test_a_partly_received_command_may_be_completed_during_a_drain_within_its_timeout() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address), control=SECOND)) as (served, address):
+        async with (
+            fake_endpoint() as peer,
+            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+        ):
             first_half = command("half")[:30]
             second_half = command("half")[30:]
             completing = socket.create_connection(address)
             hanging = socket.create_connection(address)
             for sock in (completing, hanging):
                 sock.sendall(first_half)
-            await until(lambda: sum(c.scanner.in_frame() for c in served.clients.connections) == 2)
+            await wait_until(lambda: sum(c.scanner.in_frame() for c in served.clients.connections) == 2)
             await call(served, b"drain")
             await served.shutdown.clients_may_close.wait()
             completing.sendall(second_half)
@@ -221,4 +227,4 @@
             for sock in (completing, hanging):
                 sock.close()
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -12,7 +12,7 @@
 from ingress.runtime.clock import unix_clock
 from ingress.upstream import counter_client as module
 from ingress.upstream.counter_client import CounterClient
-from tests.peers import Address, Peer, Reader, Writer, run, until
+from tests.peers import Address, Peer, Reader, Writer, run_async, wait_until
 
 
 class CounterUnderTest:
@@ -27,7 +27,7 @@
 
     async def reply(self, count: int = 1) -> tuple[int, Outcome, float]:
         """Wait for so many replies, and return the last of these."""
-        await until(lambda: len(self.replies) >= count)
+        await wait_until(lambda: len(self.replies) >= count)
         reply = self.replies[count - 1]
         return reply.name, reply.outcome, reply.total
 
@@ -68,7 +68,7 @@
             counter.add()
             assert await counter.reply() == (7, outcome, total)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -86,10 +86,10 @@
         async with scripted() as peer:
             counter = CounterUnderTest(peer.address)
             counter.add(7, amount, lifetime)
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.commands)
             assert peer.commands == [[line]]
 
-    run(body())
+    run_async(body())
 
 
 def test_calls_are_pipelined_on_one_connection_and_matched_in_order() -> None:
@@ -99,7 +99,7 @@
         for _ in range(3):
             peer.commands.append([await reader.readline()])
         writer.write(b"ok 1\r\nbu")
-        await until(lambda: counters[0].replies)
+        await wait_until(lambda: counters[0].replies)
         writer.write(b"sy\r\nok 3\r\n")
         await reader.read()
 
@@ -118,7 +118,7 @@
             assert peer.connections == 1
 
     peer = Peer(script)
-    run(body())
+    run_async(body())
 
 
 def test_late_reply_is_not_matched_to_the_next_call() -> None:
@@ -126,7 +126,7 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
-        await until(lambda: counters[0].replies)
+        await wait_until(lambda: counters[0].replies)
         counters[0].client.timeout = 5.0
         counters[0].add(2)
         await reader.readline()
@@ -141,7 +141,7 @@
             assert await counter.reply() == (1, Outcome.TIMEOUT, 0.0)
             assert await counter.reply(2) == (2, Outcome.OK, 200.0)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("invalid_reply", [b"", b"ok", b"ok {}", b"ok 1x2", b"ok nan"])
@@ -167,7 +167,7 @@
             counter.add(5)
             assert await counter.reply(4) == (5, Outcome.OK, 4.0) and peer.connections == 2
 
-    run(body())
+    run_async(body())
 
 
 def test_new_calls_go_to_the_new_address_and_pending_ones_are_still_answered() -> None:
@@ -183,18 +183,18 @@
         async with Peer(script) as old, scripted(b"ok 2\r\n", b"ok 3\r\n") as new:
             counter = CounterUnderTest(old.address)
             counter.add(1)
-            await until(lambda: counter.client.connection is not None)
+            await wait_until(lambda: counter.client.connection is not None)
             counter.client.change_address(new.address)
             counter.add(2)
             assert await counter.reply() == (2, Outcome.OK, 2.0)
             may_answer.set()
             assert await counter.reply(2) == (1, Outcome.OK, 1.0)
-            await until(lambda: old.ended)
+            await wait_until(lambda: old.ended_connections)
             counter.add(3)
             assert await counter.reply(3) == (3, Outcome.OK, 3.0)
             assert (old.connections, new.connections) == (1, 1)
 
-    run(body())
+    run_async(body())
 
 
 def test_counter_that_moves_during_a_connect_is_contacted_at_its_new_address() -> None:
@@ -206,7 +206,7 @@
             assert await counter.reply() == (1, Outcome.OK, 2.0)
             assert not old.commands
 
-    run(body())
+    run_async(body())
 
 
 def test_refused_connection_is_a_failed_connect() -> None:
@@ -217,7 +217,7 @@
         counter.add()
         assert await counter.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
 
-    run(body())
+    run_async(body())
 
 
 def test_call_queued_for_a_connection_is_not_sent_after_its_timeout() -> None:
@@ -232,12 +232,12 @@
             counter = CounterUnderTest(server.getsockname(), timeout=0.05)
             counter.add()
             assert await counter.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
-            await until(lambda: counter.client.connect_task is None)
+            await wait_until(lambda: counter.client.connect_task is None)
             assert len(counter.replies) == 1
             for sock in crowd:
                 sock.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_connection_closed_during_a_call_is_a_timeout_and_is_replaced() -> None:
@@ -255,7 +255,7 @@
             counter.add()
             assert await counter.reply(2) == (7, Outcome.OK, 5.0)
 
-    run(body())
+    run_async(body())
 
 
 def test_silent_connection_is_replaced() -> None:
@@ -276,7 +276,7 @@
             assert await counter.reply(2) == (7, Outcome.OK, 5.0)
             assert peer.connections == 2
 
-    run(body())
+    run_async(body())
 
 
 def test_silence_is_measured_from_the_last_received_data_not_from_the_oldest_call() -> None:
@@ -285,7 +285,7 @@
             counter = CounterUnderTest(peer.address, timeout=1.0)
             for name in (1, 2):
                 counter.add(name)
-            await until(lambda: counter.client.connection and len(counter.client.connection.pending_calls) == 2)
+            await wait_until(lambda: counter.client.connection and len(counter.client.connection.pending_calls) == 2)
             connection = counter.client.connection
             assert connection is not None
             start = connection.pending_calls[0].made_at
@@ -296,7 +296,7 @@
             assert not connection.is_silent(connection.last_received_at + module.SILENCE_TIMEOUT_RATIO)
             assert connection.is_silent(connection.last_received_at + module.SILENCE_TIMEOUT_RATIO + 0.01)
 
-    run(body())
+    run_async(body())
 
 
 def test_silent_connection_is_closed_at_the_timeout_of_a_call(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -307,9 +307,9 @@
             counter = CounterUnderTest(peer.address, timeout=0.02)
             counter.add()
             assert await counter.reply() == (7, Outcome.TIMEOUT, 0.0)
-            await until(lambda: counter.client.connection is None)
+            await wait_until(lambda: counter.client.connection is None)
 
-    run(body())
+    run_async(body())
 
 
 def test_idle_connection_is_closed_by_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -320,7 +320,7 @@
             counter = CounterUnderTest(peer.address)
             counter.add()
             await counter.reply()
-            await until(lambda: peer.ended)
+            await wait_until(lambda: peer.ended_connections)
             assert counter.client.connection is None
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from tests.peers import Address, Caller, Reader, Writer, backend, command, entry, resp, run
+from tests.peers import Address, Reader, RespClient, Writer, command, endpoint_entry, fake_endpoint, resp, run_async
 from tests.test_net_discovery import listing
 from tests.test_net_restart import free_port
 from tests.test_net_signals import Program, check_no_traceback, launched
@@ -181,10 +181,10 @@
     async def body() -> None:
         async with (
             DiscoveryAgent(refuses) as agent,
-            backend() as endpoint,
+            fake_endpoint() as endpoint,
             launched(
                 tmp_path,
-                entry(("127.0.0.1", 1), "gone"),
+                endpoint_entry(("127.0.0.1", 1), "gone"),
                 before=limit_descriptors,
                 limits=LIMITS,
                 discovery=f"127.0.0.1:{agent.address[1]}",
@@ -197,7 +197,9 @@
                 lambda n: ping_interval > 0 and n % ping_interval == 0,
             )
             reconnecting: list[asyncio.Task[None]] = []
-            silent = [await Caller.to(program.control) for _ in range(20)]  # Silent clients of the admin server.
+            silent = [
+                await RespClient.connect(program.control) for _ in range(20)
+            ]  # Silent clients of the admin server.
             try:
                 if how == "again":
                     reconnecting += [
@@ -215,15 +217,15 @@
                 max_open = descriptor_count(program)
                 assert before["list.version"] == 1, before
                 assert refuses or agent.request_count
-                await agent.come_back(entry(endpoint.address, "new"))
+                await agent.come_back(endpoint_entry(endpoint.address, "new"))
                 started_at = time.monotonic()
                 while (now := await read_metrics(program))["list.version"] != LIST_VERSION:
                     assert time.monotonic() - started_at < LIST_TIMEOUT_S, now
                     max_open = max(max_open, descriptor_count(program))
                     await asyncio.sleep(0.02)
-                caller = Caller(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
+                caller = RespClient(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
                 try:
-                    assert await asyncio.wait_for(caller.ask(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
+                    assert await asyncio.wait_for(caller.request(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
                 except TimeoutError:
                     pytest.fail(f"a new client got no answer in {SERVE_TIMEOUT_S} s: {await read_metrics(program)}")
                 assert [words[2] for words in endpoint.commands] == [b"00000000000000aa"]
@@ -243,7 +245,7 @@
                 idle.close()
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(("soft", "hard"), [(96, 256), (110, 110), (96, 160)])
@@ -254,10 +256,10 @@
 
     async def body() -> None:
         async with (
-            backend() as endpoint,
+            fake_endpoint() as endpoint,
             launched(
                 tmp_path,
-                entry(endpoint.address),
+                endpoint_entry(endpoint.address),
                 before=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard)),
                 limits=LIMITS | {"sockets": 256},
             ) as program,
@@ -267,8 +269,8 @@
             try:
                 for number in range(CLIENT_COUNT):
                     await idle.connect(number)
-                caller = Caller(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
-                assert await asyncio.wait_for(caller.ask(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
+                caller = RespClient(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
+                assert await asyncio.wait_for(caller.request(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
                 metrics = await read_metrics(program)
                 assert metrics["no_descriptor"] == 0 and descriptor_count(program) < soft, metrics
                 caller.writer.close()
@@ -276,4 +278,4 @@
                 idle.close()
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -21,7 +21,7 @@
 from ingress.discovery import client as module
 from ingress.discovery.client import DiscoveryClient, EndpointList, initial_busy_pause, read_endpoint_list
 from ingress.discovery.http import BusyError, HttpConnection, HttpError
-from tests.peers import Peer, Reader, Writer, entry, run, until
+from tests.peers import Peer, Reader, Writer, endpoint_entry, run_async, wait_until
 
 HERE = ("127.0.0.1", 6379)
 APPLY_DEADLINE_S = 6.0  # a change must be applied within this time after discovery is reachable
@@ -72,7 +72,7 @@
             time.time,
         )
         task = asyncio.create_task(discovery.run())
-        await until(lambda: len(service.requests) >= calls)
+        await wait_until(lambda: len(service.requests) >= calls)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
     return updates
@@ -84,10 +84,10 @@
 def test_complete_list_followed_by_changes() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            listing(41, True, entry(HERE, started=0), entry(HERE, "s2", started=1_700_000_000_500)),
-            listing(43, False, entry(HERE, "s2", "draining")),
+            listing(41, True, endpoint_entry(HERE, started=0), endpoint_entry(HERE, "s2", started=1_700_000_000_500)),
+            listing(43, False, endpoint_entry(HERE, "s2", "draining")),
             listing(44, False),
-            listing(50, True, entry(HERE)),
+            listing(50, True, endpoint_entry(HERE)),
         )
         updates = await watch(service, 5)
         assert service.requests == ["/api/targets", WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
@@ -100,14 +100,14 @@
         assert updates[1][1].endpoints[0].readiness is Readiness.DRAINING
         assert updates[0][1].addresses["s2"] == HERE
 
-    run(body())
+    run_async(body())
 
 
 def test_moved_service_is_asked_at_once_for_a_complete_list() -> None:
     async def body() -> None:
         updates: list[tuple[EndpointListKind, EndpointList]] = []
-        old = ScriptedDiscovery(listing(41, True, entry(HERE)))
-        new = ScriptedDiscovery(listing(7, True, entry(HERE, "s2")))
+        old = ScriptedDiscovery(listing(41, True, endpoint_entry(HERE)))
+        new = ScriptedDiscovery(listing(7, True, endpoint_entry(HERE, "s2")))
         async with old.peer, new.peer:
             discovery = DiscoveryClient(
                 old.peer.address,
@@ -117,9 +117,9 @@
                 time.time,
             )
             task = asyncio.create_task(discovery.run())
-            await until(lambda: len(old.requests) == 2)  # the watch is in flight and unanswered
+            await wait_until(lambda: len(old.requests) == 2)  # the watch is in flight and unanswered
             discovery.change_address(new.peer.address)
-            await until(lambda: len(new.requests) == 2)
+            await wait_until(lambda: len(new.requests) == 2)
             assert new.requests == ["/api/targets", WATCH % 7] and len(old.requests) == 2
             assert [(kind, endpoint_list.version) for kind, endpoint_list in updates] == [
                 (EndpointListKind.REPLACE, 41),
@@ -129,13 +129,15 @@
             await asyncio.gather(task, return_exceptions=True)
             assert discovery.poll_task is not None and discovery.poll_task.cancelled()
 
-    run(body())
+    run_async(body())
 
 
 def test_restarted_versions_cause_a_request_for_a_complete_list() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            listing(41, True, entry(HERE)), listing(3, False, entry(HERE, "s9")), listing(3, True, entry(HERE, "s9"))
+            listing(41, True, endpoint_entry(HERE)),
+            listing(3, False, endpoint_entry(HERE, "s9")),
+            listing(3, True, endpoint_entry(HERE, "s9")),
         )
         updates = await watch(service, 4)
         assert service.requests == ["/api/targets", WATCH % 41, "/api/targets", WATCH % 3]
@@ -144,25 +146,29 @@
             ["s9"],
         ]
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("broken", [b"{", b"[]", b'{"version":1}', b'{"version":"x","servers":[]}'])
 def test_list_is_kept_and_the_service_polled_again_after_a_malformed_response(broken: bytes) -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(41, True, entry(HERE)), broken, broken, listing(42, True, entry(HERE)))
+        service = ScriptedDiscovery(
+            listing(41, True, endpoint_entry(HERE)), broken, broken, listing(42, True, endpoint_entry(HERE))
+        )
         updates = await watch(service, 5)
         assert service.requests[:2] == ["/api/targets", WATCH % 41] and service.requests[-1] == WATCH % 42
         assert "/api/targets" in service.requests[2:]
         assert [endpoint_list.version for _, endpoint_list in updates] == [41, 42]
         assert service.request_times[-1] - service.request_times[0] >= module.MIN_PAUSE_S / 2  # after a pause
 
-    run(body())
+    run_async(body())
 
 
 def test_known_list_is_updated_with_the_changes_since_its_version() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(43, False, entry(HERE)), b"", b"", listing(44, False, entry(HERE)))
+        service = ScriptedDiscovery(
+            listing(43, False, endpoint_entry(HERE)), b"", b"", listing(44, False, endpoint_entry(HERE))
+        )
         updates = await watch(service, 5, version=41)
         # A closed connection does not invalidate the version.
         assert service.requests == [WATCH % 41, WATCH % 43, WATCH % 43, WATCH % 43, WATCH % 44]
@@ -171,16 +177,16 @@
             (EndpointListKind.UPDATE, 44),
         ]
 
-    run(body())
+    run_async(body())
 
 
 def test_version_zero_is_watched_like_any_other() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(1, False, entry(HERE)))
+        service = ScriptedDiscovery(listing(1, False, endpoint_entry(HERE)))
         await watch(service, 2, version=0)
         assert service.requests == [WATCH % 0, WATCH % 1]
 
-    run(body())
+    run_async(body())
 
 
 def settings(gateways: int, ask_within: float) -> Settings:
@@ -312,7 +318,7 @@
             assert not isinstance(other.value, BusyError)
             connection.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_ingresses_that_fail_together_retry_at_different_times(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -336,7 +342,7 @@
                 await discovery._watch(HttpConnection(HERE))
             assert discovery.version == 41
 
-    run(body())
+    run_async(body())
     assert len({pauses[0] for pauses in slept}) == 20
     for pauses in slept:
         assert module.MIN_PAUSE_S / 2 <= pauses[0] <= module.MIN_PAUSE_S * 1.5
@@ -349,16 +355,18 @@
     monkeypatch.setattr(module, "WATCH_GRACE_S", 0.05)
 
     async def body() -> None:
-        service = ScriptedDiscovery(None, listing(1, True, entry(HERE)), None, listing(2, True, entry(HERE)))
+        service = ScriptedDiscovery(
+            None, listing(1, True, endpoint_entry(HERE)), None, listing(2, True, endpoint_entry(HERE))
+        )
         updates = await watch(service, 5)
         assert [endpoint_list.version for _, endpoint_list in updates] == [1, 2]
 
-    run(body())
+    run_async(body())
 
 
 def test_failing_update_handler_does_not_end_the_watch() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(1, True, entry(HERE)), listing(2, True, entry(HERE)))
+        service = ScriptedDiscovery(listing(1, True, endpoint_entry(HERE)), listing(2, True, endpoint_entry(HERE)))
 
         def on_update(kind: EndpointListKind, endpoint_list: EndpointList) -> None:
             raise RuntimeError("failure of the handler")
@@ -366,12 +374,12 @@
         async with service.peer:
             client = DiscoveryClient(service.peer.address, on_update, None, random.Random(1), time.time)
             task = asyncio.create_task(client.run())
-            await until(lambda: len(service.requests) >= 3)
+            await wait_until(lambda: len(service.requests) >= 3)
             assert not task.done()
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -390,7 +398,7 @@
     ],
 )
 def test_malformed_entry_is_skipped_and_logged(change: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
-    entries = [entry(HERE) | change, entry(HERE, "s2"), 5]
+    entries = [endpoint_entry(HERE) | change, endpoint_entry(HERE, "s2"), 5]
     with caplog.at_level(logging.WARNING):
         endpoint_list = read_endpoint_list({"version": 1, "full": True, "servers": entries})
     assert [endpoint.id for endpoint in endpoint_list.endpoints] == ["s2"]
@@ -405,7 +413,7 @@
     return http(body, b"Content-Length: %d" % len(body), *lines, status=status)
 
 
-DRAINING = entry(HERE, "s2", "draining")
+DRAINING = endpoint_entry(HERE, "s2", "draining")
 BUSY = sized(b"", b"Retry-After: 60", status=b"503 Busy")
 SERVER_ERROR = sized(b"", status=b"500 No")
 
@@ -421,7 +429,7 @@
     """
 
     def __init__(self, *failures: tuple[bytes, str]) -> None:
-        self.failures = [(sized(listing(41, True, entry(HERE))), "on"), *failures]
+        self.failures = [(sized(listing(41, True, endpoint_entry(HERE))), "on"), *failures]
         self.reachable_since = 0.0
         self.answered = 0
         self.peer = Peer(self.script)
@@ -454,8 +462,10 @@
     writer.transport.abort()
 
 
-TRUNCATED = http(listing(42, True, entry(HERE))[:-30], b"Content-Length: 9999")
-WITHOUT_LENGTH = http(listing(42, True, entry(HERE, "s9"))[:-20])  # without a length the body ends with the connection
+TRUNCATED = http(listing(42, True, endpoint_entry(HERE))[:-30], b"Content-Length: 9999")
+WITHOUT_LENGTH = http(
+    listing(42, True, endpoint_entry(HERE, "s9"))[:-20]
+)  # without a length the body ends with the connection
 
 
 @pytest.mark.parametrize(
@@ -491,14 +501,14 @@
                     service.peer.address, on_update, None, random.Random(1), time.time, module.MIN_PAUSE_S * 40
                 ).run()
             )
-            await until(lambda: len(updates) >= 2)
+            await wait_until(lambda: len(updates) >= 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
         assert service.answered == len(failures) + 1
         assert updates[1][0] - service.reachable_since < APPLY_DEADLINE_S
         assert [(version, names) for _, version, names in updates] == [(41, ["s1"]), (42, ["s2"])]
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("failure", [(b"", "silent"), (TRUNCATED, "silent"), (TRUNCATED, "reset"), (b"", "reset")])
@@ -506,7 +516,7 @@
     """The list must be applied within 4 s after the reload."""
 
     async def body() -> None:
-        old = ScriptedDiscovery(listing(41, True, entry(HERE)))
+        old = ScriptedDiscovery(listing(41, True, endpoint_entry(HERE)))
         new = FailingDiscovery(failure)
         updates: list[tuple[float, int]] = []
         new.failures.pop(0)
@@ -519,21 +529,21 @@
                 time.time,
             )
             task = asyncio.create_task(discovery.run())
-            await until(lambda: len(old.requests) == 2)
+            await wait_until(lambda: len(old.requests) == 2)
             moved_at = time.monotonic()
             discovery.change_address(("127.0.0.1", 1))  # of two consecutive moves the last one counts
             discovery.change_address(new.peer.address)
-            await until(lambda: len(updates) == 2)
+            await wait_until(lambda: len(updates) == 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
         assert updates[1][1] == 42 and updates[1][0] - moved_at < RELOAD_DEADLINE_S
 
-    run(body())
+    run_async(body())
 
 
 def test_duplicate_response_is_read_once() -> None:
     async def body() -> None:
-        first = sized(listing(41, True, entry(HERE)))
+        first = sized(listing(41, True, endpoint_entry(HERE)))
         service = FailingDiscovery((sized(listing(41, False)) * 2, "on"))
         updates: list[int] = []
         service.failures[0] = first * 2, "on"
@@ -547,17 +557,17 @@
                     time.time,
                 ).run()
             )
-            await until(lambda: len(updates) == 2)
+            await wait_until(lambda: len(updates) == 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
         assert updates == [41, 42] and service.peer.connections == 3
 
-    run(body())
+    run_async(body())
 
 
 def test_wait_of_a_watch_shrinks_again_after_overload() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(41, True, entry(HERE)))
+        service = ScriptedDiscovery(listing(41, True, endpoint_entry(HERE)))
         discovery = make_client(random.Random(1))
         async with service.peer:
             connection = HttpConnection(service.peer.address)
@@ -566,4 +576,4 @@
             assert discovery.wait_ms == 20_000 * module.WAIT_DECAY_FACTOR
             connection.close()
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_figures.py
+++ b/tests/test_net_figures.py
@@ -9,18 +9,18 @@
 from ingress.ingress import Ingress
 from ingress.runtime.metrics import GAUGES
 from tests.peers import (
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
-    entry,
+    endpoint_entry,
+    fake_endpoint,
     override_config,
     read_command,
-    run,
-    until,
+    run_async,
+    wait_until,
 )
 from tests.test_net_control import SECOND, call
 from tests.test_net_ingress import Stub, send, serving
@@ -58,20 +58,23 @@
         return send(event)
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address), control=SECOND)) as (served, address):
+        async with (
+            Peer(script) as peer,
+            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+        ):
             served.gateway.handle = Stub(plan).handle  # type: ignore[method-assign]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             for name in ("served", "refused", "failed", "expired"):
-                await caller.ask(command(name, d=100 if name == "expired" else 2000))
-            disconnecting = await Caller.to(address)
+                await caller.request(command(name, d=100 if name == "expired" else 2000))
+            disconnecting = await RespClient.connect(address)
             disconnecting.writer.write(command("gone"))
-            await until(lambda: served.metrics.attempts_sent == 2)
+            await wait_until(lambda: served.metrics.attempts_sent == 2)
             metrics = await read_metrics(served)
             assert metrics["outstanding"] == 1 and metrics["forwards"] == 2 and metrics["discovered"] == 1
             disconnecting.writer.close()
-            await until(lambda: not served.requests.in_flight)
+            await wait_until(lambda: not served.requests.in_flight)
             override_config(served, max_open_requests=0)
-            await caller.ask(command("too many"))
+            await caller.request(command("too many"))
             shown = {
                 name: count
                 for name, count in (await read_metrics(served)).items()
@@ -100,19 +103,22 @@
                 "reused": 1,
             }
 
-    run(body())
+    run_async(body())
 
 
 def test_an_endpoint_that_refuses_connections_is_counted_as_ejected() -> None:
     async def body() -> None:
         async with (
-            backend() as peer,
-            serving(config(entry(peer.address), entry(("127.0.0.1", 1), "s2"), control=SECOND)) as (served, address),
+            fake_endpoint() as peer,
+            serving(config(endpoint_entry(peer.address), endpoint_entry(("127.0.0.1", 1), "s2"), control=SECOND)) as (
+                served,
+                address,
+            ),
         ):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             async with asyncio.timeout(10):
                 while (await read_metrics(served))["ejected"] != 1:
-                    await caller.ask(command())
+                    await caller.request(command())
             assert (await read_metrics(served))["discovered"] == 2
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -20,18 +20,18 @@
 from tests.peers import (
     SETTINGS,
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_ingress import Stub, send, serving
 
@@ -72,13 +72,13 @@
 
 async def warm(served: Ingress, address: Address, count: int = 1) -> None:
     """Open `count` connections to the endpoint and leave them idle."""
-    callers = [await Caller.to(address) for _ in range(count)]
+    callers = [await RespClient.connect(address) for _ in range(count)]
     for caller in callers:
         caller.writer.write(command("warm"))
     for caller in callers:
-        await caller.answer()
+        await caller.read_answer()
         caller.writer.close()
-    await until(lambda: not served.clients.connections)
+    await wait_until(lambda: not served.clients.connections)
 
 
 def is_any_client_paused(served: Ingress) -> bool:
@@ -93,22 +93,22 @@
     disconnect: Callable[[socket.socket], None], count: int
 ) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             gate = gate_connects(served)
             client = socket.create_connection(address)
             client.sendall(b"".join(command(f"r{n}") for n in range(count)))
-            await until(lambda: gate.waiting and (count == 1 or is_any_client_paused(served)))
+            await wait_until(lambda: gate.waiting and (count == 1 or is_any_client_paused(served)))
             disconnect(client)
             gate.open.set()
-            await until(lambda: not served.requests.in_flight and not served.pool.connecting)
-            caller = await Caller.to(address)
-            assert await caller.ask(command("after")) == b"after"
+            await wait_until(lambda: not served.requests.in_flight and not served.pool.connecting)
+            caller = await RespClient.connect(address)
+            assert await caller.request(command("after")) == b"after"
             assert [words[2] for words in peer.commands] == [b"after"]
-            await until(
+            await wait_until(
                 lambda: len(served.clients.connections) == 1
             )  # The disconnect is noticed even if reading was paused.
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("disconnect", [close, reset])
@@ -129,34 +129,34 @@
         async with (
             Peer(script) as one,
             Peer(script) as two,
-            serving(config(entry(one.address), entry(two.address, "s2"))) as (served, address),
+            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"))) as (served, address),
         ):
             client = socket.create_connection(address)
             client.sendall(b"".join(command(f"r{n}") for n in range(count + 1)))
-            await until(lambda: is_any_client_paused(served) and commands)
-            await until(lambda: len(commands) == len(served.requests.attempts_in_flight))
+            await wait_until(lambda: is_any_client_paused(served) and commands)
+            await wait_until(lambda: len(commands) == len(served.requests.attempts_in_flight))
             sent_count = len(commands)
             disconnect(client)
             disconnected.set()
-            await until(lambda: not served.requests.in_flight and not served.requests.attempts_in_flight)
+            await wait_until(lambda: not served.requests.in_flight and not served.requests.attempts_in_flight)
             assert len(commands) == sent_count
 
-    run(body())
+    run_async(body())
 
 
 def test_a_request_that_arrives_together_with_the_close_of_its_connection_is_not_forwarded() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             await warm(served, address)
             client = socket.create_connection(address)
-            await until(lambda: [c for c in served.clients.connections if c.transport])
+            await wait_until(lambda: [c for c in served.clients.connections if c.transport])
             client.sendall(command("gone"))
             client.close()  # The event loop has not read anything yet.
             time.sleep(0.15)
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
             assert [words[2] for words in peer.commands] == [b"warm"] and not served.requests.in_flight
 
-    run(body())
+    run_async(body())
 
 
 def test_a_hedge_that_is_due_when_a_stalled_process_resumes_is_not_sent_for_a_disconnected_client() -> None:
@@ -167,7 +167,7 @@
             words = await read_command(reader)
             commands.append(words[2])
             if words[2] == b"warm":
-                writer.write(value(b""))
+                writer.write(endpoint_answer(b""))
 
     commands: list[bytes] = []
     patient = [cls | {"aim-s": 2.0, "give-up-s": 6.0} for cls in SETTINGS["categories"]]
@@ -193,7 +193,10 @@
         async with (
             Peer(script) as one,
             Peer(script) as two,
-            serving(config(entry(one.address), entry(two.address, "s2"), settings=settings)) as (served, address),
+            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=settings)) as (
+                served,
+                address,
+            ),
         ):
             await warm(served, address, 2)
             for server in served.gateway.cluster.endpoints.by_id.values():
@@ -216,10 +219,10 @@
                     await asyncio.sleep(0.1)
                     assert commands.count(name) == 1 + stays
                     client.close()
-                    await until(lambda: not served.clients.connections)
+                    await wait_until(lambda: not served.clients.connections)
         stall_server.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_queued_attempt_is_not_sent_after_another_attempt_has_answered() -> None:
@@ -236,18 +239,21 @@
     async def body() -> None:
         settings = SETTINGS | {"limits": SETTINGS["limits"] | {"second-copies": True, "cancel": False}}
         async with (
-            backend() as one,
-            backend() as two,
-            serving(config(entry(one.address), entry(two.address, "s2"), settings=settings)) as (served, address),
+            fake_endpoint() as one,
+            fake_endpoint() as two,
+            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=settings)) as (
+                served,
+                address,
+            ),
         ):
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
-            await caller.ask(command("warm"))
+            caller = await RespClient.connect(address)
+            await caller.request(command("warm"))
             gate = gate_connects(served)
-            assert await caller.ask(command("both")) == b"both"
+            assert await caller.request(command("both")) == b"both"
             assert gate.waiting == 1
             gate.open.set()
-            await until(lambda: not served.pool.connecting and not served.requests.attempts_in_flight)
+            await wait_until(lambda: not served.pool.connecting and not served.requests.attempts_in_flight)
             assert [words[2] for words in one.commands] == [b"warm", b"both"] and not two.commands
             ended = stub.of(AttemptEnded)
             assert [(e.attempt, e.outcome, e.request_finished) for e in ended[1:]] == [
@@ -255,7 +261,7 @@
                 (0, Outcome.OK, True),
             ]
 
-    run(body())
+    run_async(body())
 
 
 def test_a_command_that_the_kernel_has_accepted_only_in_part_never_arrives_completely() -> None:
@@ -267,7 +273,7 @@
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         assert (await read_command(reader))[2] == b"warm"
-        writer.write(value(b""))
+        writer.write(endpoint_answer(b""))
         writer.transport.pause_reading()  # type: ignore[attr-defined]
         await ready.wait()
         writer.transport.resume_reading()  # type: ignore[attr-defined]
@@ -276,7 +282,7 @@
         ended.set()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             peer.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             await warm(served, address)
             [connection] = served.pool.endpoints["s1"].idle_connections
@@ -284,15 +290,15 @@
             await asyncio.sleep(0.03)  # The connection has been idle for long enough to be reused.
             client = socket.create_connection(address)
             client.sendall(command("large", cls="order", body=bytes(60_000)))
-            await until(lambda: connection.attempt is not None)
+            await wait_until(lambda: connection.attempt is not None)
             assert connection.attempt is not None and connection.attempt.is_unsent()
             client.close()
-            await until(lambda: not served.requests.in_flight)
+            await wait_until(lambda: not served.requests.in_flight)
             ready.set()
             await ended.wait()
             assert len(received) < command_size - 1000
 
-    run(body())
+    run_async(body())
 
 
 def test_an_attempt_that_waited_past_its_start_deadline_is_not_sent() -> None:
@@ -307,32 +313,32 @@
     stub = Stub(plan)
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = stub  # type: ignore[assignment]
             gate = gate_connects(served)
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command("late", cls="order"))
-            await until(lambda: gate.waiting)
+            await wait_until(lambda: gate.waiting)
             await asyncio.sleep(0.06)
             gate.open.set()
-            assert "failed" in str(await caller.answer())
+            assert "failed" in str(await caller.read_answer())
             assert not peer.commands
 
-    run(body())
+    run_async(body())
 
 
 def test_a_connected_client_with_unread_bytes_is_served() -> None:
     """The check for a disconnect must not mistake pipelined requests or unread bytes for one."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = Stub(send)  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(b"".join(command(f"r{n}") for n in range(3 * client_connection.MAX_PIPELINED)))
             for n in range(3 * client_connection.MAX_PIPELINED):
-                assert await caller.answer() == b"r%d" % n
+                assert await caller.read_answer() == b"r%d" % n
 
-    run(body())
+    run_async(body())
 
 
 def test_a_close_by_the_peer_is_detected_behind_unread_bytes() -> None:
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -18,7 +18,18 @@
 from ingress.process_group.errors import HandoverError
 from ingress.process_group.handover import take_over
 from ingress.process_group.membership import SPARE_DIVISOR
-from tests.peers import SETTINGS, Address, Caller, backend, command, config, entry, resp, run, until
+from tests.peers import (
+    SETTINGS,
+    Address,
+    RespClient,
+    command,
+    config,
+    endpoint_entry,
+    fake_endpoint,
+    resp,
+    run_async,
+    wait_until,
+)
 from tests.test_net_control import SECOND, call
 
 CUSTOMER_7 = f"{7:016x}"  # the customer whose id the commands contain
@@ -33,7 +44,7 @@
     stop = asyncio.Event()
     task = asyncio.create_task(ingress.run(stop))
     group = ingress.process_group
-    await until(lambda: path.is_socket() and group.links and group.links.successor_server)
+    await wait_until(lambda: path.is_socket() and group.links and group.links.successor_server)
     try:
         yield ingress, stop
         if stop.is_set():
@@ -55,60 +66,63 @@
 
 
 def ingress_config(peer: Any, **changes: Any) -> Config:
-    return config(*(entry(peer.address, f"s{n}") for n in range(8)), control=SECOND, **changes)
+    return config(*(endpoint_entry(peer.address, f"s{n}") for n in range(8)), control=SECOND, **changes)
 
 
 def test_the_second_process_accepts_new_connections_and_the_first_ends(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer), path) as (first, stop):
+        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, stop):
             address = listen_address(first)
-            kept = await Caller.to(address)
-            assert await kept.ask(command("kept")) == b"kept"
+            kept = await RespClient.connect(address)
+            assert await kept.request(command("kept")) == b"kept"
             async with process(ingress_config(peer), path) as (second, _):
-                await until(lambda: first.process_group.successor)
+                await wait_until(lambda: first.process_group.successor)
                 assert listen_address(second) == address
                 assert await call(second, b"ready") == "ok\n"
-                fresh = await Caller.to(address)
-                assert await fresh.ask(command("fresh")) == b"fresh"
+                fresh = await RespClient.connect(address)
+                assert await fresh.request(command("fresh")) == b"fresh"
                 assert second.requests.received_count == 1
-                assert await kept.ask(command("still")) == b"still"
+                assert await kept.request(command("still")) == b"still"
                 assert first.requests.received_count == 2
                 stop.set()
                 with pytest.raises(EOFError):
-                    await kept.answer()
+                    await kept.read_answer()
                 assert first.clients.is_ready  # the second process serves, so clients need not leave the ingress
-                await until(lambda: not second.process_group.links or not second.process_group.links.links)
-                assert await fresh.ask(command("on")) == b"on"
+                await wait_until(lambda: not second.process_group.links or not second.process_group.links.links)
+                assert await fresh.request(command("on")) == b"on"
 
-    run(body())
+    run_async(body())
 
 
 def test_a_customer_gets_its_burst_once_from_both_processes(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
-            kept = await Caller.to(listen_address(first))
-            assert await kept.ask(command("1")) == b"1"
+        async with (
+            fake_endpoint() as peer,
+            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+        ):
+            kept = await RespClient.connect(listen_address(first))
+            assert await kept.request(command("1")) == b"1"
             async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
-                await until(lambda: first.process_group.successor)
-                fresh = await Caller.to(listen_address(second))
-                assert await fresh.ask(command("2")) == b"2"
-                await until(lambda: first.gateway.customers[CUSTOMER_7].slice.level < 2.5)
-                assert await kept.ask(command("3")) == b"3"
-                await until(lambda: second.gateway.customers[CUSTOMER_7].slice.level < 1.5)
-                assert await fresh.ask(command("4")) == b"4"
-                assert str(await fresh.ask(command("5"))).startswith("BUSY")
-                await until(lambda: first.gateway.customers[CUSTOMER_7].slice.level < 0.5)
-                assert str(await kept.ask(command("6"))).startswith("BUSY")
+                await wait_until(lambda: first.process_group.successor)
+                fresh = await RespClient.connect(listen_address(second))
+                assert await fresh.request(command("2")) == b"2"
+                await wait_until(lambda: first.gateway.customers[CUSTOMER_7].slice.level < 2.5)
+                assert await kept.request(command("3")) == b"3"
+                await wait_until(lambda: second.gateway.customers[CUSTOMER_7].slice.level < 1.5)
+                assert await fresh.request(command("4")) == b"4"
+                assert str(await fresh.request(command("5"))).startswith("BUSY")
+                await wait_until(lambda: first.gateway.customers[CUSTOMER_7].slice.level < 0.5)
+                assert str(await kept.request(command("6"))).startswith("BUSY")
 
-    run(body())
+    run_async(body())
 
 
 def test_the_second_process_inherits_the_health_of_endpoints(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
             outliers = first.gateway.cluster.outliers
             health = first.gateway.cluster.endpoints.by_id["s3"].health
             while not outliers.ejected_count:
@@ -119,102 +133,102 @@
                 assert second.gateway.health()["health.ejected"] == 1
                 assert second.gateway.health()["health.healthy"] == 7
 
-    run(body())
+    run_async(body())
 
 
 def test_the_first_process_accepts_again_when_the_second_ends(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
             address = listen_address(first)
             async with process(ingress_config(peer), path):
-                await until(lambda: first.process_group.successor)
-            await until(lambda: not first.process_group.successor)
-            caller = await Caller.to(address)
-            assert await caller.ask(command("on")) == b"on"
+                await wait_until(lambda: first.process_group.successor)
+            await wait_until(lambda: not first.process_group.successor)
+            caller = await RespClient.connect(address)
+            assert await caller.request(command("on")) == b"on"
             assert first.requests.received_count == 1 and not first.gateway.process_state.group.other_processes
 
-    run(body())
+    run_async(body())
 
 
 def test_after_failed_upgrades_the_next_process_takes_over_from_the_first(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
             for _ in range(2):
                 async with process(ingress_config(peer), path):
-                    await until(lambda: first.process_group.successor is not None)
-                await until(
+                    await wait_until(lambda: first.process_group.successor is not None)
+                await wait_until(
                     lambda: first.process_group.successor is None
                     and first.process_group.listen_task
                     and first.process_group.listen_task.done()
                 )
             async with process(ingress_config(peer), path) as (last, _):
                 assert last.received_handover is not None and listen_address(last) == listen_address(first)
-                caller = await Caller.to(listen_address(last))
-                assert await caller.ask(command()) == b"00000000000000aa"
+                caller = await RespClient.connect(listen_address(last))
+                assert await caller.request(command()) == b"00000000000000aa"
 
-    run(body())
+    run_async(body())
 
 
 def test_two_upgrades_in_a_row(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
         async with (
-            backend() as peer,
+            fake_endpoint() as peer,
             process(ingress_config(peer), path) as (first, stop),
             process(ingress_config(peer), path) as (second, stop_second),
         ):
-            await until(lambda: first.process_group.successor)
+            await wait_until(lambda: first.process_group.successor)
             stop.set()
             async with process(ingress_config(peer), path) as (third, _):
-                await until(lambda: second.process_group.successor)
+                await wait_until(lambda: second.process_group.successor)
                 stop_second.set()
-                caller = await Caller.to(listen_address(third))
-                assert await caller.ask(command("on")) == b"on"
+                caller = await RespClient.connect(listen_address(third))
+                assert await caller.request(command("on")) == b"on"
                 assert third.requests.received_count == 1
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("resumed_index", [0, 1])
 def test_a_drain_continues_in_the_second_process_and_can_be_ended_at_either(tmp_path: Path, resumed_index: int) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
             assert await call(first, b"drain") == "ok\n"
             async with process(ingress_config(peer), path) as (second, _):
-                await until(lambda: first.process_group.successor)
+                await wait_until(lambda: first.process_group.successor)
                 assert await call(second, b"ready") == "ok\n"
                 assert not second.clients.is_ready
                 assert await call([first, second][resumed_index], b"resume") == "ok\n"
-                await until(lambda: first.clients.is_ready and second.clients.is_ready)
-                caller = await Caller.to(listen_address(second))
-                assert await caller.ask(resp(b"PING")) == b"PONG"
+                await wait_until(lambda: first.clients.is_ready and second.clients.is_ready)
+                caller = await RespClient.connect(listen_address(second))
+                assert await caller.request(resp(b"PING")) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 def test_the_connection_limits_of_both_processes_stay_within_the_total(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
-            kept = [await Caller.to(listen_address(first)) for _ in range(5)]
-            await until(lambda: len(first.clients.connections) == 5)
+        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
+            kept = [await RespClient.connect(listen_address(first)) for _ in range(5)]
+            await wait_until(lambda: len(first.clients.connections) == 5)
             async with process(ingress_config(peer), path) as (second, _):
                 total, spare = (
                     second.config.max_client_connections,
                     second.config.max_client_connections // SPARE_DIVISOR + 1,
                 )
-                await until(lambda: second.clients.max_connections == total - spare - 5)
+                await wait_until(lambda: second.clients.max_connections == total - spare - 5)
                 assert first.clients.max_connections == spare + 5
                 for caller in kept:
                     caller.writer.close()
-                await until(lambda: second.clients.max_connections == total - spare)
+                await wait_until(lambda: second.clients.max_connections == total - spare)
                 assert first.clients.max_connections == spare
-            await until(lambda: first.clients.max_connections == total)  # with the reserve of the ended process
+            await wait_until(lambda: first.clients.max_connections == total)  # with the reserve of the ended process
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("leftover", ["none", "file", "socket"])
@@ -230,14 +244,14 @@
                 sock.bind(str(short))
             short.rename(path)
         async with (
-            backend() as peer,
+            fake_endpoint() as peer,
             process(ingress_config(peer), path) as (first, _),
             process(ingress_config(peer), path) as (second, _),
         ):
-            await until(lambda: first.process_group.successor)
+            await wait_until(lambda: first.process_group.successor)
             assert listen_address(first) == listen_address(second)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_malformed_handover_message_is_reported(tmp_path: Path) -> None:
@@ -251,21 +265,21 @@
             with pytest.raises(HandoverError, match="unsupported format version 0 of the handover message"):
                 await asyncio.to_thread(take_over, path)
 
-    run(body())
+    run_async(body())
 
 
 def test_malformed_messages_from_another_process_are_ignored(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
             reader, writer = await asyncio.open_unix_connection(str(path))
             writer.write(b'{"spent": [1]}\nnonsense\n[]\n')
             writer.write(b'{"spent": ["c", "basic", 1, 3.0, true, 1, "", 0.0]}\n')
-            await until(lambda: "c" in first.gateway.customers)
+            await wait_until(lambda: "c" in first.gateway.customers)
             assert first.gateway.process_state.group == ProcessGroupChanged(1, False)
             writer.close()
-            await until(lambda: not first.gateway.process_state.group.other_processes)
+            await wait_until(lambda: not first.gateway.process_state.group.other_processes)
             assert not first.gateway.customers["c"].concurrency.in_flight_elsewhere
             del reader
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -24,17 +24,17 @@
 from tests.peers import (
     SETTINGS,
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
-    entry,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
-    run,
-    until,
+    run_async,
+    wait_until,
 )
 from tests.test_net_backends import PoolUnderTest
 from tests.test_net_control import SECOND
@@ -59,23 +59,23 @@
 )
 def test_outcome_of_each_kind_of_health_check_reply(answer: bytes, outcome: Outcome) -> None:
     async def body() -> None:
-        async with backend(answer) as peer, serving(config(entry(peer.address))) as (served, _):
+        async with fake_endpoint(answer) as peer, serving(config(endpoint_entry(peer.address))) as (served, _):
             stub = Stub(lambda event: [StartHealthCheck("s1", 0.2)] if isinstance(event, TimerFired) else [])
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             served.feed(TimerFired(9))
-            await until(lambda: stub.of(HealthCheckEnded))
+            await wait_until(lambda: stub.of(HealthCheckEnded))
             [ended] = stub.of(HealthCheckEnded)
             assert (ended.endpoint_id, ended.outcome) == ("s1", outcome)
             assert peer.commands == [[b"PING"]]
             # A check belongs to no request.
             assert served.metrics.attempts_sent == 0 and not served.requests.attempts_in_flight
 
-    run(body())
+    run_async(body())
 
 
 def test_health_check_of_an_unreachable_or_removed_endpoint_fails_to_connect() -> None:
     async def body() -> None:
-        async with serving(config(entry(("127.0.0.1", 1)))) as (served, _):
+        async with serving(config(endpoint_entry(("127.0.0.1", 1)))) as (served, _):
             stub = Stub(
                 lambda event: [StartHealthCheck("s1", 0.2), StartHealthCheck("gone", 0.2)]
                 if isinstance(event, TimerFired)
@@ -83,10 +83,10 @@
             )
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             served.feed(TimerFired(9))
-            await until(lambda: len(stub.of(HealthCheckEnded)) == 2)
+            await wait_until(lambda: len(stub.of(HealthCheckEnded)) == 2)
             assert {e.outcome for e in stub.of(HealthCheckEnded)} == {Outcome.CONNECT_FAILED}
 
-    run(body())
+    run_async(body())
 
 
 def test_failing_endpoint_is_ejected_and_recovers_through_a_health_check_and_probation() -> None:
@@ -105,32 +105,34 @@
                 writer.write(b"-ERR failed\r\n" if is_failing.is_set() else b"*1\r\n$1\r\nx\r\n")
 
     async def body() -> None:
-        async with backend() as peer, Peer(script) as failing:
-            entries = [entry(peer.address, f"s{n}") for n in range(3)] + [entry(failing.address, "bad")]
+        async with fake_endpoint() as peer, Peer(script) as failing:
+            entries = [endpoint_entry(peer.address, f"s{n}") for n in range(3)] + [
+                endpoint_entry(failing.address, "bad")
+            ]
             async with serving(config(*entries, control=SECOND, settings=PROBING)) as (served, address):
-                caller = await Caller.to(address)
+                caller = await RespClient.connect(address)
                 health = served.gateway.cluster.endpoints.by_id["bad"].health
                 is_failing.set()
                 while not served.gateway.health()["ejections"]:
-                    await caller.ask(command())
+                    await caller.request(command())
                 shown = await read_metrics(served)
                 assert shown["health.ejected"] == shown["ejected"] == 1
                 assert shown["ejections.error"] == 1 and shown["health.healthy"] == 3
                 is_failing.clear()
                 health.next_health_check_at = 0.0  # the next health check is due now
                 while health.status.value != "healthy":
-                    await caller.ask(command())
+                    await caller.request(command())
                     await asyncio.sleep(0.002)
                 shown = await read_metrics(served)
                 assert shown["probes"] == pings >= 1 and shown["ejected"] == 0
                 assert shown["results.read.aborted"] == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_exhausted_descriptors_are_a_local_failure() -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with fake_endpoint() as peer:
             pool = PoolUnderTest(peer.address)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             resource.setrlimit(resource.RLIMIT_NOFILE, (256, hard))
@@ -139,26 +141,26 @@
                     while True:  # until no descriptor is left
                         held.enter_context(open(os.devnull, "rb"))
                 attempt = pool.send()
-                await until(lambda: pool.results)
+                await wait_until(lambda: pool.results)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
             assert pool.results[0][1] is Outcome.CONNECT_FAILED and attempt.local_failure
             assert pool.pool.connection_count == 0  # the failed connect released its slot
             pool.send()
             assert (await pool.result(2))[0] is Outcome.OK
 
-    run(body())
+    run_async(body())
 
 
 def test_exceeding_the_connection_limit_is_a_local_failure() -> None:
     async def body() -> None:
-        async with backend(b"") as peer:
+        async with fake_endpoint(b"") as peer:
             pool = PoolUnderTest(peer.address, max_connections=1)
             pool.send()
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.commands)
             attempt = pool.send()
             assert pool.results == [(1, Outcome.CONNECT_FAILED, None)] and attempt.local_failure
 
-    run(body())
+    run_async(body())
 
 
 def test_refused_connection_is_not_a_local_failure() -> None:
@@ -171,22 +173,22 @@
             assert (await pool.result())[0] is Outcome.CONNECT_FAILED
             assert not attempt.local_failure
 
-    run(body())
+    run_async(body())
 
 
 def test_gateway_receives_the_local_failure_flag() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             stub = Stub(lambda e: [StartAttempt(e.request_id, "s1")] if isinstance(e, RequestReceived) else [])
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             served.pool.max_connections = 0
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command(d=300))
-            await until(lambda: stub.of(AttemptEnded))
+            await wait_until(lambda: stub.of(AttemptEnded))
             [ended] = stub.of(AttemptEnded)
             assert ended.local_failure and ended.outcome is Outcome.CONNECT_FAILED
 
-    run(body())
+    run_async(body())
 
 
 def test_unsolicited_reply_is_never_forwarded() -> None:
@@ -198,13 +200,13 @@
             writer.write(b"*1\r\n$%d\r\n%b\r\n" % (len(words[2]), words[2]) * 2)
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
             for number in range(20):
                 name = f"request-{number}"
-                assert await caller.ask(command(name)) == name.encode()
+                assert await caller.request(command(name)) == name.encode()
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -260,7 +262,7 @@
 
 def test_locally_failed_health_check_is_not_reported() -> None:
     async def body() -> None:
-        async with serving(config(entry(("127.0.0.1", 1)))) as (served, _):
+        async with serving(config(endpoint_entry(("127.0.0.1", 1)))) as (served, _):
             stub = Stub(None)
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             check = HealthCheck.create(served.health_checker, "s1", 0.0, 1.0)
@@ -271,4 +273,4 @@
             served.health_checker.attempt_ended(check, AttemptResult(Outcome.CONNECT_FAILED))
             assert len(stub.of(HealthCheckEnded)) == 1
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -8,7 +8,7 @@
 
 from ingress.discovery import http
 from ingress.discovery.http import HttpConnection, HttpError
-from tests.peers import Peer, Reader, Writer, run
+from tests.peers import Peer, Reader, Writer, run_async
 
 OK = b"HTTP/1.1 200 OK\r\n"
 
@@ -47,7 +47,7 @@
             assert peer.connections == (2 if b"" in pieces else 1)
             connection.close()
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -71,7 +71,7 @@
                 await connection.get("/x")
             connection.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_connection_closed_between_two_calls_is_replaced() -> None:
@@ -85,4 +85,4 @@
             assert peer.connections == 2
             connection.close()
 
-    run(body())
+    run_async(body())
