--- a/tests/test_net_ingress.py
+++ b/tests/test_net_ingress.py
@@ -21,20 +21,20 @@
 from ingress.server import client_connection, client_server, client_timeouts
 from tests.peers import (
     SETTINGS,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     override_config,
     read_command,
     resp,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 
 
@@ -44,7 +44,7 @@
     served = Ingress(settings)
     stop = asyncio.Event()
     task = asyncio.create_task(served.run(stop))
-    await until(lambda: served.gateway.quotas.started_at is not None)
+    await wait_until(lambda: served.gateway.quotas.started_at is not None)
     try:
         yield served, served.clients.listening_socket.getsockname()
     finally:
@@ -81,14 +81,14 @@
 def test_ping_select_and_client_are_answered() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(resp(b"PING"))
             assert await caller.reader.readexactly(7) == b"+PONG\r\n"
-            assert await caller.ask(resp(b"SELECT", b"0")) == b"OK"
-            assert await caller.ask(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
-            assert str(await caller.ask(resp(b"HELLO", b"3"))).startswith("ERR")
+            assert await caller.request(resp(b"SELECT", b"0")) == b"OK"
+            assert await caller.request(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
+            assert str(await caller.request(resp(b"HELLO", b"3"))).startswith("ERR")
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("body", [b"x", bytes(range(256)) * 256])
@@ -96,40 +96,40 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         peer.commands.append(words)
-        writer.write(value(words[4]))
+        writer.write(endpoint_answer(words[4]))
         await reader.read()
 
     async def play() -> None:
-        async with peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(command(cls="order", body=body)) == body
+        async with peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
+            assert await caller.request(command(cls="order", body=body)) == body
             [words] = peer.commands
             assert words[0] == b"API.WRITE" and words[1] == b"%016x" % 7
             assert b"k=0123456789abcdef" in words[3].split(b",")
 
     peer = Peer(script)
-    run(play())
+    run_async(play())
 
 
 def test_responses_keep_the_order_of_the_commands() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         if words[2] == b"slow":
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.commands)
         else:
             peer.commands.append(words)
-        writer.write(value(words[2]))
+        writer.write(endpoint_answer(words[2]))
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address))) as (served, address):
+        async with peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = Stub(send)  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
-            assert [await caller.answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
+            assert [await caller.read_answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
 
     peer = Peer(script)
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -158,14 +158,14 @@
 ) -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
-            answer = await caller.ask(data)
+            caller = await RespClient.connect(address)
+            answer = await caller.request(data)
             assert isinstance(answer, hiredis.ReplyError)
             assert str(answer).startswith("ERR ") and reason in str(answer)
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            assert await caller.request(resp(b"PING")) == b"PONG"
 
     with caplog.at_level(logging.WARNING):
-        run(body())
+        run_async(body())
     assert any(reason in record.getMessage() for record in caplog.records)
 
 
@@ -185,32 +185,32 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        await until(lambda: ingresses[0].clients.malformed_count)
-        writer.write(value(b"served"))
+        await wait_until(lambda: ingresses[0].clients.malformed_count)
+        writer.write(endpoint_answer(b"served"))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             ingresses.append(served)
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command() + data)
-            assert await caller.answer() == b"served"
-            assert str(await caller.answer()).startswith("ERR ")
+            assert await caller.read_answer() == b"served"
+            assert str(await caller.read_answer()).startswith("ERR ")
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_answer()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_frame_that_declares_a_billion_elements_does_not_stall_the_event_loop() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
-            assert "too many words" in str(await caller.ask(b"*1000000000\r\n"))
+            caller = await RespClient.connect(address)
+            assert "too many words" in str(await caller.request(b"*1000000000\r\n"))
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_answer()
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -227,19 +227,19 @@
 def test_too_many_declared_elements_are_rejected_wherever_they_occur(pieces: list[bytes]) -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
-            caller = await Caller.to(address)
-            await until(lambda: served.clients.connections)
+            caller = await RespClient.connect(address)
+            await wait_until(lambda: served.clients.connections)
             [client] = served.clients.connections
-            await until(lambda: client.transport)
+            await wait_until(lambda: client.transport)
             for piece in pieces:
                 client.data_received(piece)
             if b"PING" in pieces[0]:
-                assert await caller.answer() == b"*1"
-            assert "too many words" in str(await caller.answer())
+                assert await caller.read_answer() == b"*1"
+            assert "too many words" in str(await caller.read_answer())
             with pytest.raises(EOFError):
-                await caller.answer()
+                await caller.read_answer()
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -258,32 +258,32 @@
 )
 def test_a_client_that_never_completes_a_command_is_disconnected(pieces: list[bytes], times_out: bool) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
-            await until(lambda: [c for c in served.clients.connections if c.transport])
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
+            await wait_until(lambda: [c for c in served.clients.connections if c.transport])
             [client] = served.clients.connections
             for piece in pieces:
                 client.data_received(piece)
-            await until(lambda: not client.slots)
+            await wait_until(lambda: not client.slots)
             client_timeouts.check_timeouts(client, client.server.clock() + client_timeouts.COMMAND_TIMEOUT * 0.9)
             assert not client.is_closing
             client_timeouts.check_timeouts(client, client.server.clock() + client_timeouts.COMMAND_TIMEOUT)
             if times_out:
                 with pytest.raises(EOFError):
                     while True:
-                        await caller.answer()
+                        await caller.read_answer()
             else:
                 assert client.transport is not None and not client.transport.is_closing()
             assert client.is_closing == times_out  # No further input is processed.
 
-    run(body())
+    run_async(body())
 
 
 def test_the_timeout_of_the_first_command_starts_with_the_connection() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
-            await Caller.to(address)
-            await until(lambda: [c for c in served.clients.connections if c.transport])
+            await RespClient.connect(address)
+            await wait_until(lambda: [c for c in served.clients.connections if c.transport])
             [client] = served.clients.connections
             start = client.command_due_since
             client.data_received(b"*4\r\n")
@@ -291,7 +291,7 @@
             client.data_received(command()[4:] + b"*")
             assert client.command_due_since == client.received_at
 
-    run(body())
+    run_async(body())
 
 
 def test_the_sweep_disconnects_silent_clients(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -300,71 +300,71 @@
 
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             with pytest.raises(EOFError):
-                await caller.answer()
+                await caller.read_answer()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_client_that_sends_only_unknown_commands_is_disconnected() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(resp(b"NONSENSE") * 200)
             answers = []
             with pytest.raises(EOFError):
                 while True:
-                    answers.append(str(await caller.answer()))
+                    answers.append(str(await caller.read_answer()))
             assert len(answers) == client_connection.MAX_MALFORMED + 2 and "too many" in answers[-1]
 
-    run(body())
+    run_async(body())
 
 
 def test_the_gateway_is_notified_of_a_client_that_disconnects() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             stub = Stub(send)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command())
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.commands)
             caller.writer.close()
-            await until(lambda: stub.of(ClientDisconnected))
+            await wait_until(lambda: stub.of(ClientDisconnected))
             assert not served.requests.in_flight
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("sent", [True, False])
 def test_a_final_answer_is_sent_in_time_whatever_the_gateway_and_the_endpoint_do(sent: bool) -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             stub = Stub(send if sent else None)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             clock = asyncio.get_running_loop().time
             start = clock()
-            assert str(await caller.ask(command(d=300))) == "ERR failed"
+            assert str(await caller.request(command(d=300))) == "ERR failed"
             assert clock() - start > 0.2
             assert len(stub.of(ClientDisconnected)) == 1
-            await until(lambda: not served.requests.attempts_in_flight and not served.requests.in_flight)
+            await wait_until(lambda: not served.requests.attempts_in_flight and not served.requests.in_flight)
             assert len(stub.of(AttemptEnded)) == sent
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            assert await caller.request(resp(b"PING")) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 def test_the_gateway_answers_before_a_final_answer_is_forced() -> None:
     """The endpoint is silent: the attempt times out first, and the gateway gives the final answer."""
 
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
-            assert isinstance(await caller.ask(command(d=500)), hiredis.ReplyError)
+        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
+            assert isinstance(await caller.request(command(d=500)), hiredis.ReplyError)
             assert not served.requests.in_flight and not served.gateway.requests
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("d", [40, 90])
@@ -372,11 +372,11 @@
     d: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
-            assert isinstance(await caller.ask(command(d=d)), hiredis.ReplyError)
+        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
+            assert isinstance(await caller.request(command(d=d)), hiredis.ReplyError)
 
-    run(body())
+    run_async(body())
     assert not any("forced" in record.getMessage() for record in caplog.records)
 
 
@@ -385,29 +385,29 @@
         async with serving(config()) as (served, address):
             retry_after = {"1": 0.0, "2": 1.2501}
             served.runner.gateway = Stub(lambda e: [RejectRequest(e.request_id, retry_after[e.request_id])])  # type: ignore[assignment]
-            caller = await Caller.to(address)
-            assert str(await caller.ask(command())) == "BUSY"
-            assert str(await caller.ask(command())) == "BUSY 1251"
+            caller = await RespClient.connect(address)
+            assert str(await caller.request(command())) == "BUSY"
+            assert str(await caller.request(command())) == "BUSY 1251"
 
-    run(body())
+    run_async(body())
 
 
 def test_a_second_final_answer_is_dropped() -> None:
     async def body() -> None:
         async with serving(config()) as (served, address):
             served.runner.gateway = Stub(lambda e: [FailRequest(e.request_id), RejectRequest(e.request_id)])  # type: ignore[assignment]
-            caller = await Caller.to(address)
-            assert str(await caller.ask(command())) == "ERR failed"
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            caller = await RespClient.connect(address)
+            assert str(await caller.request(command())) == "ERR failed"
+            assert await caller.request(resp(b"PING")) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 def test_a_fault_in_the_gateway_ends_only_one_request(caplog: pytest.LogCaptureFixture) -> None:
     """The actions that were decided before the fault are performed, above all the next timer."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
 
             def plan(event: Event) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.customer.endswith("9"):
@@ -417,24 +417,24 @@
 
             stub = Stub(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command("one") + command("two", customer=9) + command("three"))
-            assert await caller.answer() == b"one"
-            assert str(await caller.answer()) == "ERR failed"
-            assert await caller.answer() == b"three"
-            await until(lambda: stub.of(TimerFired))
-            await until(lambda: not served.requests.in_flight)
+            assert await caller.read_answer() == b"one"
+            assert str(await caller.read_answer()) == "ERR failed"
+            assert await caller.read_answer() == b"three"
+            await wait_until(lambda: stub.of(TimerFired))
+            await wait_until(lambda: not served.requests.in_flight)
 
-    run(body())
+    run_async(body())
     assert sum("the module failed" in record.getMessage() for record in caplog.records) == 1
 
 
 def test_the_earlier_attempt_is_cancelled_before_another_is_sent() -> None:
     async def body() -> None:
         async with (
-            backend(b"") as one,
-            backend() as two,
-            serving(config(entry(one.address), entry(two.address, "s2"))) as (served, address),
+            fake_endpoint(b"") as one,
+            fake_endpoint() as two,
+            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"))) as (served, address),
         ):
 
             def plan(event: Event) -> list[Action]:
@@ -444,21 +444,24 @@
 
             stub = Stub(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
-            assert await caller.ask(command("x")) == b"x"
+            caller = await RespClient.connect(address)
+            assert await caller.request(command("x")) == b"x"
             assert [e.outcome for e in stub.of(AttemptEnded)] == [Outcome.CANCELLED, Outcome.OK]
-            await until(lambda: one.ended)
+            await wait_until(lambda: one.ended_connections)
 
-    run(body())
+    run_async(body())
 
 
 def test_two_attempts_run_concurrently_if_the_settings_allow_it() -> None:
     async def body() -> None:
         allowed = {**SETTINGS, "limits": {**SETTINGS["limits"], "second-copies": True}}
         async with (
-            backend(b"") as one,
-            backend() as two,
-            serving(config(entry(one.address), entry(two.address, "s2"), settings=allowed)) as (served, address),
+            fake_endpoint(b"") as one,
+            fake_endpoint() as two,
+            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=allowed)) as (
+                served,
+                address,
+            ),
         ):
 
             def plan(event: Event) -> list[Action]:
@@ -473,18 +476,21 @@
 
             stub = Stub(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
-            assert await caller.ask(command("x")) == b"x"
-            await until(lambda: len(stub.of(AttemptEnded)) == 2)
+            caller = await RespClient.connect(address)
+            assert await caller.request(command("x")) == b"x"
+            await wait_until(lambda: len(stub.of(AttemptEnded)) == 2)
             assert [(e.attempt, e.outcome) for e in stub.of(AttemptEnded)] == [(1, Outcome.OK), (0, Outcome.CANCELLED)]
             assert not served.requests.attempts_in_flight and not served.requests.in_flight
 
-    run(body())
+    run_async(body())
 
 
 def test_an_attempt_after_the_end_of_its_request_or_above_the_limit_is_not_sent() -> None:
     async def body() -> None:
-        async with backend(b"-ERR failed\r\n") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with (
+            fake_endpoint(b"-ERR failed\r\n") as peer,
+            serving(config(endpoint_entry(peer.address))) as (served, address),
+        ):
 
             def plan(event: Event) -> list[Action]:
                 again = isinstance(event, AttemptEnded) and not event.request_finished and event.attempt < 4
@@ -492,26 +498,26 @@
 
             stub = Stub(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
-            assert str(await caller.ask(command(d=300))) == "ERR failed"
+            caller = await RespClient.connect(address)
+            assert str(await caller.request(command(d=300))) == "ERR failed"
             outcomes = [(e.attempt, e.outcome) for e in stub.of(AttemptEnded)]
             assert outcomes == [*((n, Outcome.ERROR) for n in range(4)), (4, Outcome.NOT_SENT)]
 
-    run(body())
+    run_async(body())
 
 
 def test_requests_in_flight_are_limited() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             override_config(served, max_open_requests=1)
-            caller = await Caller.to(address)
-            other = await Caller.to(address)
+            caller = await RespClient.connect(address)
+            other = await RespClient.connect(address)
             caller.writer.write(command())
-            await until(lambda: peer.commands)
-            assert str(await other.ask(command())).startswith("BUSY")
+            await wait_until(lambda: peer.commands)
+            assert str(await other.request(command())).startswith("BUSY")
             assert served.metrics.rejections_by_reason == {"memory": 1}  # The reason is not a missing endpoint.
 
-    run(body())
+    run_async(body())
 
 
 def test_reading_pauses_for_a_client_that_pipelines_too_many_commands(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -519,7 +525,7 @@
     max_in_flight = 0
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
 
             def plan(event: Event) -> list[Action]:
                 nonlocal max_in_flight
@@ -527,11 +533,11 @@
                 return send(event)
 
             served.runner.gateway = Stub(plan)  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(50)))
-            assert [await caller.answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
+            assert [await caller.read_answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
 
-    run(body())
+    run_async(body())
     assert max_in_flight == 4
 
 
@@ -539,16 +545,16 @@
     async def body() -> None:
         async with serving(config()) as (served, address):
             served.clients.max_connections = 3  # Reaching the limit closes an idle connection.
-            callers = [await Caller.to(address) for _ in range(2)]
+            callers = [await RespClient.connect(address) for _ in range(2)]
             for caller in callers:
-                assert await caller.ask(resp(b"PING")) == b"PONG"
-            third = await Caller.to(address)
-            assert await third.ask(resp(b"PING")) == b"PONG"
+                assert await caller.request(resp(b"PING")) == b"PONG"
+            third = await RespClient.connect(address)
+            assert await third.request(resp(b"PING")) == b"PONG"
             with pytest.raises(EOFError):
-                await callers[0].answer()
-            assert await callers[1].ask(resp(b"PING")) == b"PONG"
+                await callers[0].read_answer()
+            assert await callers[1].request(resp(b"PING")) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 def test_a_connection_accepted_as_the_listener_closes_is_served_and_then_closed() -> None:
@@ -566,9 +572,9 @@
             for sock in (idle, busy):
                 assert await loop.sock_recv(sock, 100) == b""
                 sock.close()
-            await until(lambda: not served.clients.connections)
+            await wait_until(lambda: not served.clients.connections)
 
-    run(body())
+    run_async(body())
 
 
 def test_the_clock_returns_unix_time_and_does_not_jump(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/test_net_long.py
+++ b/tests/test_net_long.py
@@ -20,17 +20,17 @@
 from tests.peers import (
     SETTINGS,
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
     command,
     config,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
     read_command,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_ingress import Stub, send, serving
 
@@ -38,16 +38,16 @@
 HEAD = b"*3\r\n$%d\r\n" % len(LONG)
 
 
-async def slow_caller(served: Ingress, address: Address) -> Caller:
+async def slow_caller(served: Ingress, address: Address) -> RespClient:
     """Connect a client with small socket buffers, so that little is in flight besides what it has read."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 14)
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, address)
-    await until(lambda: served.clients.connections)
+    await wait_until(lambda: served.clients.connections)
     [client] = served.clients.connections
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 1 << 14)
-    return Caller(*await asyncio.open_connection(sock=sock, limit=1 << 14))
+    return RespClient(*await asyncio.open_connection(sock=sock, limit=1 << 14))
 
 
 @pytest.mark.parametrize("step", [1, 3, 7, 1000, 1 << 20])
@@ -55,7 +55,7 @@
     body = bytes(range(256)) * 300
     data = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$10\r\ninflight=7\r\n" % (len(body), body)
     reader = ResponseReader()
-    for response in (value(b"short"), data, b"-BUSY x\r\n", data):
+    for response in (endpoint_answer(b"short"), data, b"-BUSY x\r\n", data):
         chunks = b""
         answers = []
         for at in range(0, len(response), step):
@@ -89,24 +89,24 @@
             writer.write(LONG[100:] + b"\r\n$-1\r\n$-1\r\n")
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             stub = Stub(send)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command(d=300))
             head = b"$%d\r\n" % len(LONG)
             assert await caller.reader.readexactly(len(head) + 100) == head + LONG[:100]
             await asyncio.sleep(0.4)  # The deadline has passed; a value that has begun is not aborted.
             first_forwarded.set()
             assert await caller.reader.readexactly(len(LONG) - 98) == LONG[100:] + b"\r\n"
-            assert await caller.ask(command()) == LONG  # Both connections can be used again.
+            assert await caller.request(command()) == LONG  # Both connections can be used again.
             assert peer.connections == 1
-            await until(lambda: not served.requests.in_flight)
+            await wait_until(lambda: not served.requests.in_flight)
             assert [type(e) for e in stub.seen[:3]] == [RequestReceived, ResponseStarted, AttemptEnded]
             ended = stub.of(AttemptEnded)
             assert [(e.outcome, e.request_finished) for e in ended] == [(Outcome.OK, True)] * 2
 
-    run(body())
+    run_async(body())
 
 
 def test_a_slow_client_slows_the_endpoint_down_without_using_memory() -> None:
@@ -125,24 +125,24 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             caller = await slow_caller(served, address)
             caller.writer.write(command())
             [client] = served.clients.connections
-            await until(
+            await wait_until(
                 lambda: client.is_write_paused
             )  # The receive window of the client is full, because it reads nothing.
             assert client.transport is not None
             [request] = served.requests.in_flight.values()
             assert request.streaming_attempt is not None and request.streaming_attempt.connection is not None
-            await until(lambda: request.streaming_attempt.connection.is_read_paused)  # type: ignore[union-attr]
+            await wait_until(lambda: request.streaming_attempt.connection.is_read_paused)  # type: ignore[union-attr]
             buffered = client.transport.get_write_buffer_size() + sum(map(len, request.slot.chunks))
             assert buffered <= 3 * MAX_STREAM_WINDOW
-            assert await caller.answer() == bytes(resp.MAX_VALUE_BYTES)
-            await until(lambda: not served.requests.in_flight and not served.pool.streaming)
+            assert await caller.read_answer() == bytes(resp.MAX_VALUE_BYTES)
+            await wait_until(lambda: not served.requests.in_flight and not served.pool.streaming)
             assert served.metrics.results["read", RequestResult.SUCCEEDED] == 1
 
-    run(body())
+    run_async(body())
 
 
 def test_a_long_value_waits_for_the_responses_before_it() -> None:
@@ -152,17 +152,17 @@
         words = await read_command(reader)
         if words[2] == b"slow":
             await answer_first.wait()
-            writer.write(value(b"slow"))
+            writer.write(endpoint_answer(b"slow"))
         else:
             writer.write(HEAD + LONG + b"\r\n$-1\r\n$-1\r\n")
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = Stub(send)  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command("slow") + command("long"))
-            await until(
+            await wait_until(
                 lambda: any(
                     r.streaming_attempt
                     and r.streaming_attempt.connection
@@ -173,9 +173,9 @@
             [waiting] = [r for r in served.requests.in_flight.values() if r.streaming_attempt]
             assert sum(map(len, waiting.slot.chunks)) < len(LONG) / 4
             answer_first.set()
-            assert [await caller.answer(), await caller.answer()] == [b"slow", LONG]
+            assert [await caller.read_answer(), await caller.read_answer()] == [b"slow", LONG]
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("ending", [b"", b"xx-ERR failed\r\n"])
@@ -188,16 +188,16 @@
     async def body() -> None:
         async with (
             Peer(script) as peer,
-            serving(config(entry(peer.address), entry(peer.address, "s2"))) as (served, address),
+            serving(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"))) as (served, address),
         ):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(command())
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
-            await until(lambda: not served.requests.in_flight)
+                await caller.read_answer()
+            await wait_until(lambda: not served.requests.in_flight)
             assert peer.connections == 1 and served.metrics.requests_in_flight == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_a_client_that_disconnects_ends_the_attempt() -> None:
@@ -207,14 +207,16 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(command())
             await caller.reader.readexactly(100)
             caller.writer.close()
-            await until(lambda: peer.ended and not served.requests.in_flight and not served.pool.streaming)
+            await wait_until(
+                lambda: peer.ended_connections and not served.requests.in_flight and not served.pool.streaming
+            )
 
-    run(body())
+    run_async(body())
 
 
 def test_an_endpoint_that_goes_silent_within_a_value_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -227,13 +229,13 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(command())
             with pytest.raises(EOFError):
-                await caller.answer()
+                await caller.read_answer()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_client_that_stops_reading_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -246,13 +248,13 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             caller = await slow_caller(served, address)
             caller.writer.write(command())
-            await until(lambda: served.requests.received_count and not served.clients.connections)
-            await until(lambda: not served.requests.in_flight)
+            await wait_until(lambda: served.requests.received_count and not served.clients.connections)
+            await wait_until(lambda: not served.requests.in_flight)
 
-    run(body())
+    run_async(body())
 
 
 def test_the_first_chunk_of_one_attempt_cancels_the_other() -> None:
@@ -264,15 +266,15 @@
 
     async def body() -> None:
         settings = {**SETTINGS, "limits": {**SETTINGS["limits"], "second-copies": True, "cancel": True}}
-        fleet = (entry(peer.address, f"s{n}") for n in range(8))
+        fleet = (endpoint_entry(peer.address, f"s{n}") for n in range(8))
         async with peer, serving(config(*fleet, settings=settings)) as (served, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(command()) == LONG
-            await until(lambda: not served.requests.attempts_in_flight)
+            caller = await RespClient.connect(address)
+            assert await caller.request(command()) == LONG
+            await wait_until(lambda: not served.requests.attempts_in_flight)
             assert peer.connections == 2
 
     peer = Peer(script)
-    run(body())
+    run_async(body())
 
 
 def test_the_stream_window_follows_the_limit_and_the_number_of_streams() -> None:
@@ -293,9 +295,9 @@
     async def body() -> None:
         async with serving(config()) as (served, address):
             served.budget.command_bytes = served.budget.capacity()
-            caller = await Caller.to(address)
-            assert str(await caller.ask(command())).startswith("BUSY")
+            caller = await RespClient.connect(address)
+            assert str(await caller.request(command())).startswith("BUSY")
             served.budget.command_bytes = 0
             assert not served.requests.in_flight
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_members.py
+++ b/tests/test_net_members.py
@@ -18,7 +18,18 @@
 import uvloop
 
 from ingress.process_group.presence import Presence, start_ticks_of
-from tests.peers import STARTED, Address, Caller, Peer, backend, command, config_text, entry, resp, until
+from tests.peers import (
+    STARTED_PROCESSES,
+    Address,
+    Peer,
+    RespClient,
+    command,
+    config_text,
+    endpoint_entry,
+    fake_endpoint,
+    resp,
+    wait_until,
+)
 from tests.test_net_handover import CUSTOMER_7, SMALL_BURST_SETTINGS, ingress_config, listen_address, process
 from tests.test_net_restart import free_port
 
@@ -26,7 +37,7 @@
 PING = resp(b"PING")
 
 
-def run(body: Coroutine[Any, Any, None]) -> None:
+def run_async(body: Coroutine[Any, Any, None]) -> None:
     uvloop.run(asyncio.wait_for(body, 90.0))
 
 
@@ -37,7 +48,7 @@
         self.folder = folder
         self.port = free_port()
         self.path = folder / "config.json"
-        servers = (entry(peer.address, f"s{n}") for n in range(8))
+        servers = (endpoint_entry(peer.address, f"s{n}") for n in range(8))
         self.path.write_text(config_text(*servers, listen=f"127.0.0.1:{self.port}", **changes), encoding="utf-8")
         self.address: Address = ("127.0.0.1", self.port)
         self.started: list[tuple[asyncio.subprocess.Process, Address]] = []
@@ -53,7 +64,7 @@
             env=os.environ
             | {"EDGE_CONFIG": str(self.path), "TMPDIR": str(self.folder), "EDGE_CONTROL": f"{control[0]}:{control[1]}"},
         )
-        STARTED.append(child)
+        STARTED_PROCESSES.append(child)
         self.started.append((child, control))
         while True:
             with contextlib.suppress(OSError):
@@ -105,7 +116,7 @@
 async def ingress(
     folder: Path, count: int
 ) -> AsyncIterator[tuple[IngressProcesses, list[tuple[asyncio.subprocess.Process, Address]]]]:
-    async with backend() as peer:
+    async with fake_endpoint() as peer:
         processes = IngressProcesses(folder, peer)
         yield processes, [await processes.start() for _ in range(count)]
 
@@ -126,7 +137,7 @@
             while await total_reserve(controls) != limit:  # and nothing of it is lost
                 await asyncio.sleep(0.02)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_stopped_process_is_replaced_and_after_it_continues_only_one_accepts(tmp_path: Path) -> None:
@@ -141,16 +152,16 @@
             rows = await members(one)
             assert " accepts" in rows[0] and " silent" in rows[1]
             before = await total_reserve([one])
-            caller = await Caller.to(processes.address)  # the stopped process accepts none
-            assert await caller.ask(command()) == b"00000000000000aa"
+            caller = await RespClient.connect(processes.address)  # the stopped process accepts none
+            assert await caller.request(command()) == b"00000000000000aa"
             assert await total_reserve([one]) <= before  # the stopped process keeps its reserve
             second.send_signal(signal.SIGCONT)
             await settled([one, two], 2)
             assert " accepts" in (await members(one))[1]
-            assert await caller.ask(PING) == b"PONG"
+            assert await caller.request(PING) == b"PONG"
             assert first.returncode is None and second.returncode is None
 
-    run(body())
+    run_async(body())
 
 
 def test_when_the_middle_of_a_chain_is_killed_one_view_and_all_reserves_remain(tmp_path: Path) -> None:
@@ -167,14 +178,14 @@
             # The drain is sent over the new link between the remaining processes.
             assert (await ask(three, "drain")).startswith("ok")
             while not any("1|g" in line for line in [await ask(one, "ready")]):
-                caller = await Caller.to(processes.address)
-                answer = await caller.ask(PING)
+                caller = await RespClient.connect(processes.address)
+                answer = await caller.request(PING)
                 caller.writer.close()
                 if "draining" in str(answer):
                     break
             assert (await ask(three, "resume")).startswith("ok")
 
-    run(body())
+    run_async(body())
 
 
 def test_the_next_oldest_leads_after_the_oldest_is_killed_and_accepts_after_the_youngest_is_killed(
@@ -191,12 +202,12 @@
             youngest.send_signal(signal.SIGKILL)
             await youngest.wait()
             await settled([two], 1)
-            caller = await Caller.to(processes.address)
-            assert await caller.ask(command()) == b"00000000000000aa"
+            caller = await RespClient.connect(processes.address)
+            assert await caller.request(command()) == b"00000000000000aa"
             _, new_control = await processes.start()  # the next process finds the remaining one
             await settled([two, new_control], 2)
 
-    run(body())
+    run_async(body())
 
 
 def test_twenty_upgrades_under_load_lose_no_request(tmp_path: Path) -> None:
@@ -212,15 +223,15 @@
                         return
                     request = command(customer=number * 100_000 + count % 1000)  # each well within its quota
                     if caller is None:
-                        caller = await Caller.to(processes.address)
+                        caller = await RespClient.connect(processes.address)
                     try:
-                        assert await caller.ask(request) == b"00000000000000aa"
+                        assert await caller.request(request) == b"00000000000000aa"
                         counts["answered"] += 1
                     except (EOFError, ConnectionError):
                         # The connection was closed between two requests, or as the request was sent: retry once.
-                        caller = await Caller.to(processes.address)
+                        caller = await RespClient.connect(processes.address)
                         try:
-                            assert await caller.ask(request) == b"00000000000000aa"
+                            assert await caller.request(request) == b"00000000000000aa"
                             counts["answered"] += 1
                         except (EOFError, ConnectionError):
                             counts["lost"] += 1
@@ -239,18 +250,18 @@
             assert counts["lost"] == 0 and counts["answered"] > 100
             await settled([old[1]], 1)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_lost_link_between_two_running_processes_is_reconnected(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
         async with (
-            backend() as peer,
+            fake_endpoint() as peer,
             process(ingress_config(peer), path) as (first, _),
             process(ingress_config(peer), path) as (second, _),
         ):
-            await until(
+            await wait_until(
                 lambda: first.process_group.membership
                 and first.process_group.membership.others
                 and first.process_group.successor
@@ -265,13 +276,13 @@
             for link in list(first.process_group.links.links):
                 assert link.transport is not None
                 link.transport.abort()
-            await until(
+            await wait_until(
                 lambda: first.process_group.links
                 and first.process_group.links.links
                 and second.process_group.links
                 and second.process_group.links.links
             )
-            await until(
+            await wait_until(
                 lambda: first.process_group.membership
                 and second.process_group.membership
                 and (
@@ -282,7 +293,7 @@
             assert not first.clients.acceptor.accepting and second.clients.acceptor.accepting
             assert listen_address(first) == listen_address(second)
 
-    run(body())
+    run_async(body())
 
 
 def test_usage_of_one_process_counts_once_at_the_other(tmp_path: Path) -> None:
@@ -291,28 +302,31 @@
 
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
-            kept = await Caller.to(listen_address(first))
+        async with (
+            fake_endpoint() as peer,
+            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+        ):
+            kept = await RespClient.connect(listen_address(first))
             await asyncio.sleep(0.5)  # while it is alone, it does not update its record
             async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
-                await until(lambda: first.process_group.successor)
+                await wait_until(lambda: first.process_group.successor)
                 await asyncio.sleep(0.6)  # longer than the delay before a reconnect
                 assert first.process_group.links and second.process_group.links
                 assert len(first.process_group.links.links) == len(second.process_group.links.links) == 1
                 assert second.process_group.membership and not second.process_group.membership.silent_processes(
                     time.monotonic()
                 )
-                assert await kept.ask(command("1")) == b"1"
-                await until(lambda: CUSTOMER_7 in second.gateway.customers)
+                assert await kept.request(command("1")) == b"1"
+                await wait_until(lambda: CUSTOMER_7 in second.gateway.customers)
                 await asyncio.sleep(0.1)
                 assert 2.9 < second.gateway.customers[CUSTOMER_7].slice.level < 3.1  # 4, less one
                 link = next(iter(second.process_group.links.links))
                 link.is_newer = False
                 second.process_group.links.connect(first.process_group.links.presence.name)
-                await until(lambda: second.process_group.links and not second.process_group.links.connecting)
-                await until(lambda: second.process_group.links and len(second.process_group.links.links) == 1)
+                await wait_until(lambda: second.process_group.links and not second.process_group.links.connecting)
+                await wait_until(lambda: second.process_group.links and len(second.process_group.links.links) == 1)
 
-    run(body())
+    run_async(body())
 
 
 def test_over_links_in_a_ring_each_unit_counts_once_and_each_message_is_forwarded_once(tmp_path: Path) -> None:
@@ -320,21 +334,24 @@
 
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
-            kept = await Caller.to(listen_address(first))
+        async with (
+            fake_endpoint() as peer,
+            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+        ):
+            kept = await RespClient.connect(listen_address(first))
             async with (
                 process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _),
                 process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (third, _),
             ):
-                await until(lambda: first.process_group.successor and second.process_group.successor)
+                await wait_until(lambda: first.process_group.successor and second.process_group.successor)
                 assert first.process_group.links and third.process_group.links
                 third.process_group.links.connect(
                     first.process_group.links.presence.name
                 )  # as after the process between them was stopped
-                await until(lambda: first.process_group.links and len(first.process_group.links.links) == 2)
-                await until(lambda: third.process_group.links and len(third.process_group.links.links) == 2)
-                assert await kept.ask(command("1")) == b"1"
-                await until(lambda: all(CUSTOMER_7 in instance.gateway.customers for instance in (second, third)))
+                await wait_until(lambda: first.process_group.links and len(first.process_group.links.links) == 2)
+                await wait_until(lambda: third.process_group.links and len(third.process_group.links.links) == 2)
+                assert await kept.request(command("1")) == b"1"
+                await wait_until(lambda: all(CUSTOMER_7 in instance.gateway.customers for instance in (second, third)))
                 await asyncio.sleep(0.3)
                 for instance in (first, second, third):
                     assert 2.9 < instance.gateway.customers[CUSTOMER_7].slice.level < 3.1  # 4, less one
@@ -343,35 +360,40 @@
                     second.process_group.ledger.received_count <= 4 and third.process_group.ledger.received_count <= 4
                 )  # the start and the end of the attempt, over two paths
                 first.process_group.drain_all(True)
-                await until(lambda: second.gateway.draining.by_operator and third.gateway.draining.by_operator)
+                await wait_until(lambda: second.gateway.draining.by_operator and third.gateway.draining.by_operator)
                 third.process_group.drain_all(False)
-                await until(lambda: not first.gateway.draining.by_operator and not second.gateway.draining.by_operator)
+                await wait_until(
+                    lambda: not first.gateway.draining.by_operator and not second.gateway.draining.by_operator
+                )
                 await asyncio.sleep(0.1)
                 assert not any(instance.gateway.draining.by_operator for instance in (first, second, third))
 
-    run(body())
+    run_async(body())
 
 
 def test_usage_while_the_link_is_lost_is_sent_after_the_reconnect(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with backend() as peer, process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _):
-            kept = await Caller.to(listen_address(first))
+        async with (
+            fake_endpoint() as peer,
+            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+        ):
+            kept = await RespClient.connect(listen_address(first))
             async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
-                await until(lambda: first.process_group.successor)
+                await wait_until(lambda: first.process_group.successor)
                 assert first.process_group.links and second.process_group.links
-                assert await kept.ask(command("1")) == b"1"
-                await until(lambda: CUSTOMER_7 in second.gateway.customers)
+                assert await kept.request(command("1")) == b"1"
+                await wait_until(lambda: CUSTOMER_7 in second.gateway.customers)
                 for link in list(first.process_group.links.links):
                     link.transport.abort()  # type: ignore[union-attr]
-                assert await kept.ask(command("2")) == b"2"  # before the event loop has noticed the loss
-                await until(lambda: first.process_group.links and first.process_group.links.links)
-                await until(lambda: second.gateway.customers[CUSTOMER_7].slice.level < 2.1)
+                assert await kept.request(command("2")) == b"2"  # before the event loop has noticed the loss
+                await wait_until(lambda: first.process_group.links and first.process_group.links.links)
+                await wait_until(lambda: second.gateway.customers[CUSTOMER_7].slice.level < 2.1)
                 await asyncio.sleep(0.1)
                 assert 1.9 < second.gateway.customers[CUSTOMER_7].slice.level < 2.1
                 assert second.gateway.customers[CUSTOMER_7].concurrency.in_flight_elsewhere == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_after_the_middle_of_a_chain_was_stopped_it_counts_nothing_twice(tmp_path: Path) -> None:
@@ -387,14 +409,14 @@
             middle.send_signal(signal.SIGCONT)
             await settled([one, two, three], 3)
             before = await received_usage_messages(two)
-            caller = await Caller.to(processes.address)
+            caller = await RespClient.connect(processes.address)
             for number in range(5):
-                assert await caller.ask(command(customer=number)) == b"00000000000000aa"
+                assert await caller.request(command(customer=number)) == b"00000000000000aa"
             await asyncio.sleep(0.5)
             # Two messages for each request, over two or three paths.
             assert 10 <= await received_usage_messages(two) - before <= 40
 
-    run(body())
+    run_async(body())
 
 
 async def received_usage_messages(control: Address) -> int:
--- a/tests/test_net_readiness.py
+++ b/tests/test_net_readiness.py
@@ -13,7 +13,18 @@
 
 import pytest
 
-from tests.peers import Address, Caller, Peer, Reader, Writer, backend, command, entry, resp, run
+from tests.peers import (
+    Address,
+    Peer,
+    Reader,
+    RespClient,
+    Writer,
+    command,
+    endpoint_entry,
+    fake_endpoint,
+    resp,
+    run_async,
+)
 from tests.test_net_restart import free_port
 from tests.test_net_signals import Program, check_no_traceback, launched
 
@@ -53,7 +64,7 @@
     while True:
         caller = await program.first_connection()
         try:
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+            assert await caller.request(resp(b"PING")) == b"PONG"
         except (EOFError, ConnectionError):
             continue
         start = times(program, began)
@@ -82,27 +93,27 @@
     """And serves by the list that it knows, if it knows one."""
 
     async def body() -> None:
-        async with discovery_agent(how) as down, backend() as peer:
+        async with discovery_agent(how) as down, fake_endpoint() as peer:
             host, port = ("127.0.0.1", free_port()) if how == "refused" else down.address
-            known = [entry(peer.address, f"s{n}") for n in range(servers)]
+            known = [endpoint_entry(peer.address, f"s{n}") for n in range(servers)]
             began = time.monotonic()
             async with launched(tmp_path, *known, discovery=f"{host}:{port}") as program:
                 start = await ready_after(program, began)
                 assert start.wall < READY_TIMEOUT_S and start.cpu < MAX_CPU_S, start
                 while how != "refused" and not down.commands:
                     await asyncio.sleep(0.005)  # The process must have asked discovery.
-                caller = await Caller.to(program.address)
-                answer = await caller.ask(command(d=1000))
+                caller = await RespClient.connect(program.address)
+                answer = await caller.request(command(d=1000))
                 assert answer == b"00000000000000aa" if servers else str(answer).startswith(("BUSY", "ERR")), answer
                 check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 def test_it_is_ready_while_its_endpoints_hang_and_clients_send_requests_from_the_start(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend(b"") as hanging, discovery_agent("silent") as down:
-            known = [entry(hanging.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
+        async with fake_endpoint(b"") as hanging, discovery_agent("silent") as down:
+            known = [endpoint_entry(hanging.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
             began = time.monotonic()
             async with launched(tmp_path, *known, discovery=f"127.0.0.1:{down.address[1]}") as program:
                 callers = []
@@ -115,7 +126,7 @@
                 for caller in callers:
                     caller.writer.close()
 
-    run(body())
+    run_async(body())
 
 
 def on_core(core: int) -> Callable[[], None]:
@@ -135,12 +146,12 @@
         core = min(os.sched_getaffinity(0))
         async with (
             discovery_agent(how) as down,
-            backend() as peer,
+            fake_endpoint() as peer,
             AsyncExitStack() as first,
             AsyncExitStack() as second,
         ):
             port = free_port() if how == "refused" else down.address[1]
-            known = [entry(peer.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
+            known = [endpoint_entry(peer.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
 
             async def starts(number: int, stack: AsyncExitStack, again: Address | None) -> Program:
                 folder = tmp_path / f"{number}-{again is not None}"  # Empty at each start, and not shared.
@@ -158,7 +169,7 @@
 
             programs = [await starts(number, first, None) for number in range(RESTART_COUNT)]
             callers = [await program.first_connection() for program in programs]
-            assert [await caller.ask(command()) for caller in callers] == [b"00000000000000aa"] * RESTART_COUNT
+            assert [await caller.request(command()) for caller in callers] == [b"00000000000000aa"] * RESTART_COUNT
             for program in programs:
                 program.process.send_signal(signal.SIGKILL)
             for program in programs:
@@ -175,8 +186,8 @@
             blocked = max(start.wall - start.cpu - start.runnable for start in starts_found)
             assert sum(start.cpu for start in starts_found) + blocked < READY_TIMEOUT_S / 2, starts_found
             for program, _ in starting:
-                caller = await Caller.to(program.address)
-                assert await caller.ask(command()) == b"00000000000000aa"
+                caller = await RespClient.connect(program.address)
+                assert await caller.request(command()) == b"00000000000000aa"
                 check_no_traceback(program)
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_restart.py
+++ b/tests/test_net_restart.py
@@ -18,19 +18,19 @@
 from ingress import graceful_shutdown
 from tests.peers import (
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config_text,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
     resp,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -67,17 +67,17 @@
 async def program(peer: Peer, path: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     address = ("127.0.0.1", free_port())
     path = path / "config.json"
-    fleet = (entry(peer.address, f"s{n}") for n in range(8))
+    fleet = (endpoint_entry(peer.address, f"s{n}") for n in range(8))
     path.write_text(config_text(*fleet, listen=f"127.0.0.1:{address[1]}"), encoding="utf-8")
     process = await start(path)
     try:
         while True:
             try:
-                caller = await Caller.to(address)
+                caller = await RespClient.connect(address)
                 break
             except ConnectionError:
                 await asyncio.sleep(0.01)
-        assert await caller.ask(resp(b"PING")) == b"PONG"
+        assert await caller.request(resp(b"PING")) == b"PONG"
         caller.writer.close()
         yield process, address
     finally:
@@ -94,57 +94,57 @@
             words = await read_command(reader)
             if words[2] == b"slow":
                 await ended.wait()
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
         async with Peer(script) as peer, program(peer, tmp_path) as (process, address):
-            slow, idle = await Caller.to(address), await Caller.to(address)
+            slow, idle = await RespClient.connect(address), await RespClient.connect(address)
             slow.writer.write(command("slow"))
-            assert await idle.ask(command("before")) == b"before"
+            assert await idle.request(command("before")) == b"before"
             process.send_signal(signal.SIGTERM)
             terminated_at = time.monotonic()
             # New and existing connections are served for a while.
-            fresh = await Caller.to(address)
-            assert await fresh.ask(command("fresh")) == b"fresh"
-            assert await idle.ask(command("after")) == b"after"
+            fresh = await RespClient.connect(address)
+            assert await fresh.request(command("fresh")) == b"fresh"
+            assert await idle.request(command("after")) == b"after"
             with pytest.raises((EOFError, ConnectionError)):
-                await idle.answer()
+                await idle.read_answer()
             assert time.monotonic() - terminated_at >= 0.4
             with pytest.raises(ConnectionError):
                 while True:  # the listening socket closes a moment later
-                    (await Caller.to(address)).writer.close()
+                    (await RespClient.connect(address)).writer.close()
                     await asyncio.sleep(0.01)
             ended.set()
-            assert await slow.answer() == b"slow"
+            assert await slow.read_answer() == b"slow"
             with pytest.raises((EOFError, ConnectionError)):
-                await slow.answer()
+                await slow.read_answer()
             assert await process.wait() == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_an_upgrade_loses_no_request(tmp_path: Path) -> None:
     """Clients send requests without a pause, over new connections and over a persistent one."""
 
     async def body() -> None:
-        async with backend() as peer, program(peer, tmp_path) as (first, address):
+        async with fake_endpoint() as peer, program(peer, tmp_path) as (first, address):
             over = asyncio.Event()
             answers: list[bytes] = []
 
             async def use_new_connections() -> None:
                 while not over.is_set():
-                    caller = await Caller.to(address)
-                    answers.append(await caller.ask(command("anew", customer=1)))
+                    caller = await RespClient.connect(address)
+                    answers.append(await caller.request(command("anew", customer=1)))
                     caller.writer.close()
                     await asyncio.sleep(0.02)  # within the quota
 
             async def use_one_connection() -> None:
-                caller = await Caller.to(address)
+                caller = await RespClient.connect(address)
                 while not over.is_set():
                     try:
-                        answers.append(await caller.ask(command("kept", customer=2)))
+                        answers.append(await caller.request(command("kept", customer=2)))
                     except (EOFError, ConnectionError):  # the connection was closed between two requests
-                        caller = await Caller.to(address)
+                        caller = await RespClient.connect(address)
                     await asyncio.sleep(0.02)
 
             clients = [asyncio.create_task(use_new_connections()), asyncio.create_task(use_one_connection())]
@@ -160,7 +160,7 @@
                 first.send_signal(signal.SIGTERM)
                 assert await first.wait() == 0
                 before = len(answers)
-                await until(lambda: len(answers) > before + 4)
+                await wait_until(lambda: len(answers) > before + 4)
                 over.set()
                 await asyncio.gather(*clients)
                 assert set(answers) == {b"anew", b"kept"}
@@ -168,7 +168,7 @@
                 second.kill()
                 await second.wait()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_reload_uses_the_new_discovery_address_and_survives_an_invalid_file(tmp_path: Path) -> None:
@@ -179,39 +179,39 @@
             requests.append(await reader.readline())
             await reader.read()
 
-        async with backend() as peer, Peer(agent) as moved, program(peer, tmp_path) as (process, address):
+        async with fake_endpoint() as peer, Peer(agent) as moved, program(peer, tmp_path) as (process, address):
             path = tmp_path / "config.json"
             valid_text = path.read_text(encoding="utf-8")
             path.write_text("{", encoding="utf-8")
             process.send_signal(signal.SIGHUP)
-            caller = await Caller.to(address)
-            assert await caller.ask(command()) == b"00000000000000aa"
+            caller = await RespClient.connect(address)
+            assert await caller.request(command()) == b"00000000000000aa"
             host, port = moved.address
             path.write_text(valid_text.replace('127.0.0.1:1"', f'{host}:{port}"'), encoding="utf-8")
             while not requests:
                 process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.05)
             assert requests[0].startswith(b"GET /api/targets HTTP")
-            assert await caller.ask(command("00000000000000ab")) == b"00000000000000ab"
+            assert await caller.request(command("00000000000000ab")) == b"00000000000000ab"
             process.send_signal(signal.SIGTERM)
             assert await process.wait() == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_open_requests_are_answered_before_sigkill(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend(b"") as peer, program(peer, tmp_path) as (process, address):
-            caller = await Caller.to(address)
+        async with fake_endpoint(b"") as peer, program(peer, tmp_path) as (process, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(command(d=60_000))
             process.send_signal(signal.SIGTERM)
             terminated_at = time.monotonic()
-            assert str(await caller.answer()) == "ERR failed"
+            assert str(await caller.read_answer()) == "ERR failed"
             assert await process.wait() == 0
             max_deadline_s = 2.0  # of the plans in the settings
             assert time.monotonic() - terminated_at < max_deadline_s + graceful_shutdown.SIGKILL_DELAY
 
-    run(body())
+    run_async(body())
 
 
 def test_an_address_in_use_is_reported(tmp_path: Path) -> None:
@@ -230,4 +230,4 @@
             _, errors = await process.communicate()
             assert process.returncode == 1 and b"listen" in errors
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_signals.py
+++ b/tests/test_net_signals.py
@@ -21,21 +21,21 @@
 from ingress.graceful_shutdown import SIGKILL_DELAY
 from tests.peers import (
     SETTINGS,
-    STARTED,
+    STARTED_PROCESSES,
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
-    backend,
     command,
     config_text,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
     read_command,
     resp,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_restart import ROOT
 
@@ -84,11 +84,11 @@
         text = Path(f"/proc/{self.process.pid}/status").read_text(encoding="utf-8")
         return bool(int(text.partition("SigCgt:")[2].split()[0], 16) >> (number - 1) & 1)
 
-    async def first_connection(self) -> Caller:
+    async def first_connection(self) -> RespClient:
         """Connect as soon as the process listens."""
         while True:
             try:
-                return await Caller.to(self.address)
+                return await RespClient.connect(self.address)
             except ConnectionError:
                 assert self.process.returncode is None, self.log
                 await asyncio.sleep(0.001)
@@ -96,7 +96,7 @@
     async def ready(self) -> None:
         """Wait until the process has replied +PONG."""
         caller = await self.first_connection()
-        assert await caller.ask(resp(b"PING")) == b"PONG"
+        assert await caller.request(resp(b"PING")) == b"PONG"
         caller.writer.close()
 
     async def call(self, line: bytes) -> list[str]:
@@ -148,7 +148,7 @@
         preexec_fn=before,
         env=os.environ | {"EDGE_CONFIG": str(path), "TMPDIR": str(folder)},
     )
-    STARTED.append(process)
+    STARTED_PROCESSES.append(process)
     program = Program(process, address, control, path)
     try:
         yield program
@@ -161,7 +161,7 @@
 
 def fleet(peer: Peer) -> list[dict[str, Any]]:
     """Return the entries of eight endpoints that are all the same peer."""
-    return [entry(peer.address, f"s{n}") for n in range(8)]
+    return [endpoint_entry(peer.address, f"s{n}") for n in range(8)]
 
 
 def check_no_traceback(program: Program) -> None:
@@ -169,10 +169,10 @@
     assert not program.logged("Traceback") and not program.logged("never retrieved"), program.log
 
 
-async def expect_close(caller: Caller) -> None:
+async def expect_close(caller: RespClient) -> None:
     """Check that the connection is closed without another answer; then close the client's side."""
     with pytest.raises((EOFError, ConnectionError)):
-        pytest.fail(f"one more answer: {await caller.answer()!r}")
+        pytest.fail(f"one more answer: {await caller.read_answer()!r}")
     caller.writer.close()
 
 
@@ -194,23 +194,23 @@
             assert status in ((0,) if caught is signal.SIGTERM else (0, -signal.SIGTERM)), program.log
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_request_sent_with_sigterm_as_the_process_starts_to_listen_is_answered(tmp_path: Path) -> None:
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             caller = await program.first_connection()
             caller.writer.write(command("first"))
             program.process.send_signal(signal.SIGTERM)
             sigterm_at = time.monotonic()
-            assert await caller.answer() == b"first"
+            assert await caller.read_answer() == b"first"
             await expect_close(caller)
             assert await program.ended() == 0, program.log
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 # Signals during a drain
@@ -224,31 +224,31 @@
             words = await read_command(reader)
             peer.commands.append(words)
             await answer.wait()
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
             await reader.read()
 
         peer = Peer(script)
         async with peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            slow = await Caller.to(program.address)
+            slow = await RespClient.connect(program.address)
             slow.writer.write(command("slow", d=1900))
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.commands)
             program.process.send_signal(signal.SIGTERM)
-            await until(lambda: program.logged("n0 is draining"))
+            await wait_until(lambda: program.logged("n0 is draining"))
             program.process.send_signal(signal.SIGTERM)
-            late = await Caller.to(program.address)  # New connections are still accepted.
+            late = await RespClient.connect(program.address)  # New connections are still accepted.
             late.writer.write(command("late", d=1500))
-            await until(lambda: len(peer.commands) == 2)
+            await wait_until(lambda: len(peer.commands) == 2)
             program.process.send_signal(signal.SIGTERM)
             program.process.send_signal(signal.SIGINT)
             answer.set()
-            assert [await slow.answer(), await late.answer()] == [b"slow", b"late"]
+            assert [await slow.read_answer(), await late.read_answer()] == [b"slow", b"late"]
             await expect_close(slow)
             await expect_close(late)
             assert await program.ended() == 0, program.log
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("log_line", ["n0 is draining", "n0 has stopped serving"])
@@ -256,12 +256,12 @@
     """SIGHUP is sent repeatedly until the exit; an ingress that SIGHUP terminates counts as crashed."""
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            caller = await Caller.to(program.address)
-            assert await caller.ask(command("one")) == b"one"
+            caller = await RespClient.connect(program.address)
+            assert await caller.request(command("one")) == b"one"
             program.process.send_signal(signal.SIGTERM)
-            await until(lambda: program.logged(log_line))
+            await wait_until(lambda: program.logged(log_line))
             sighup_count = 0
             while program.process.returncode is None:
                 program.process.send_signal(signal.SIGHUP)
@@ -271,7 +271,7 @@
             assert program.logged("n0 has stopped serving")
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("partial_response", [b"", b"*3\r\n$5\r\nhel"])
@@ -286,20 +286,20 @@
     async def body() -> None:
         async with peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            callers = [await Caller.to(program.address) for _ in range(6)]
+            callers = [await RespClient.connect(program.address) for _ in range(6)]
             for number, caller in enumerate(callers):
                 cls = ("read", "order")[number % 2]
                 d = (60_000, 1_900)[number // 2 % 2]
                 caller.writer.write(b"".join(command(f"{number}-{n}", cls, d, customer=number) for n in range(2)))
-            await until(lambda: len(peer.commands) >= 2)
+            await wait_until(lambda: len(peer.commands) >= 2)
             program.process.send_signal(signal.SIGTERM)
             sigterm_at = time.monotonic()
-            late = await Caller.to(program.address)
+            late = await RespClient.connect(program.address)
             late.writer.write(command("late", d=60_000))
 
-            async def answers(caller: Caller, count: int) -> None:
+            async def answers(caller: RespClient, count: int) -> None:
                 for _ in range(count):
-                    answer = await caller.answer()
+                    answer = await caller.read_answer()
                     assert isinstance(answer, hiredis.ReplyError), answer
                 assert time.monotonic() - sigterm_at < KILL_DELAY_S
                 await expect_close(caller)
@@ -310,7 +310,7 @@
             check_no_traceback(program)
 
     peer = Peer(script)
-    run(body())
+    run_async(body())
 
 
 def test_requests_on_open_connections_during_a_drain_are_answered_or_not_forwarded(tmp_path: Path) -> None:
@@ -321,20 +321,20 @@
     """
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             answered = list[bytes]()
             crossed = list[bytes]()
             is_draining = False
 
             async def send_requests(number: int) -> None:
-                caller = await Caller.to(program.address)
+                caller = await RespClient.connect(program.address)
                 count = 0
                 while True:
                     count += 1
                     request = f"{number:08x}{count:08x}"
                     try:
-                        answer = await caller.ask(command(request, customer=number))
+                        answer = await caller.request(command(request, customer=number))
                     except (EOFError, ConnectionError):
                         crossed.append(request.encode())
                         caller.writer.close()
@@ -347,7 +347,7 @@
                     await asyncio.sleep(0.01 if not is_draining else number % 8 * 0.0005)
 
             sending = [asyncio.create_task(send_requests(number)) for number in range(24)]
-            await until(lambda: len(answered) > 100)
+            await wait_until(lambda: len(answered) > 100)
             is_draining = True
             program.process.send_signal(signal.SIGTERM)
             await asyncio.gather(*sending)
@@ -357,33 +357,33 @@
             assert all(forwarded[request] == 1 for request in answered)
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 def test_requests_that_are_unread_when_connections_are_due_to_be_closed_are_answered(tmp_path: Path) -> None:
     """Requests arrive while the process is stopped in its drain, past the time at which it would close connections."""
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            callers = [await Caller.to(program.address) for _ in range(12)]
+            callers = [await RespClient.connect(program.address) for _ in range(12)]
             for caller in callers:
-                assert await caller.ask(resp(b"SELECT", b"0")) == b"OK"
+                assert await caller.request(resp(b"SELECT", b"0")) == b"OK"
             program.process.send_signal(signal.SIGTERM)
-            await until(lambda: program.logged("n0 is draining"))
+            await wait_until(lambda: program.logged("n0 is draining"))
             program.process.send_signal(signal.SIGSTOP)
             for number, caller in enumerate(callers):
                 caller.writer.write(command(f"{number}", customer=number))
             await asyncio.sleep(0.8)  # Longer than open connections are served during a drain.
             program.process.send_signal(signal.SIGCONT)
             for number, caller in enumerate(callers):
-                answer = await caller.answer()
+                answer = await caller.read_answer()
                 assert answer == b"%d" % number or str(answer).startswith("BUSY"), answer
                 await expect_close(caller)
             assert await program.ended() == 0, program.log
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 # Reloads
@@ -400,19 +400,19 @@
             words = await read_command(reader)
             peer.commands.append(words)
             await answer.wait()
-            writer.write(value(words[2]))
+            writer.write(endpoint_answer(words[2]))
             await reader.read()
 
         peer = Peer(script)
         async with peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
-            slow = await Caller.to(program.address)
-            idle = await Caller.to(program.address)
+            slow = await RespClient.connect(program.address)
+            idle = await RespClient.connect(program.address)
             slow.writer.write(command("slow", d=1900))
-            assert await idle.ask(resp(b"SELECT", b"0")) == b"OK"
-            await until(lambda: peer.commands)
+            assert await idle.request(resp(b"SELECT", b"0")) == b"OK"
+            await wait_until(lambda: peer.commands)
             source = json.loads(program.path.read_text(encoding="utf-8"))
-            source["known"]["servers"] = [entry(peer.address, f"s{n}") for n in range(5000)]
+            source["known"]["servers"] = [endpoint_entry(peer.address, f"s{n}") for n in range(5000)]
             source["limits"]["memory_mb"] = 160
             program.write(json.dumps(source))
             if gap is None:
@@ -423,14 +423,14 @@
                 program.process.send_signal(signal.SIGTERM)
             sigterm_at = time.monotonic()
             answer.set()
-            assert await slow.answer() == b"slow"
+            assert await slow.read_answer() == b"slow"
             await expect_close(idle)
             await expect_close(slow)
             assert await program.ended() == 0, program.log
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 def test_an_invalid_file_at_sighup_is_logged_in_one_line_and_the_active_configuration_stays(tmp_path: Path) -> None:
@@ -450,11 +450,11 @@
     ]
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             good = program.path.read_text(encoding="utf-8")
             before = await program.call(b"show-config")
-            caller = await Caller.to(program.address)
+            caller = await RespClient.connect(program.address)
             start = len(program.log)
             for number, (text, words) in enumerate(invalid_files):
                 if text is None:
@@ -469,28 +469,28 @@
                 assert "reload: " in line and all(word in line for word in words), line
                 assert len(line) < 400
                 request = f"{number:016x}"
-                assert await caller.ask(command(request)) == request.encode()
+                assert await caller.request(command(request)) == request.encode()
                 now = await program.call(b"show-config")
                 assert now[:4] == before[:4] and now[-2].startswith("refused: reload at ")
             source = json.loads(good)
             source["limits"]["memory_mb"] = 160
             program.write(json.dumps(source))
             program.process.send_signal(signal.SIGHUP)
-            await until(lambda: program.logged("generation 2"))
+            await wait_until(lambda: program.logged("generation 2"))
             lines = program.log[start : program.log.index(program.logged("generation 2")[0])]
             assert len(lines) == len(invalid_files) and all(line.startswith("ERROR ") for line in lines), lines
-            assert await caller.ask(command("after")) == b"after"
+            assert await caller.request(command("after")) == b"after"
             program.process.send_signal(signal.SIGTERM)
             assert await program.ended() == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_continuous_reloads_delay_neither_requests_nor_the_exit(tmp_path: Path) -> None:
     """SIGHUP is sent every few milliseconds, before and during the drain."""
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             await program.ready()
             stop = asyncio.Event()
 
@@ -499,10 +499,10 @@
                     program.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.002)
 
-            caller = await Caller.to(program.address)
+            caller = await RespClient.connect(program.address)
             sending = asyncio.create_task(send_sighups())
             for n in range(50):
-                assert await caller.ask(command(f"{n:016x}", d=1000)) == b"%016x" % n
+                assert await caller.request(command(f"{n:016x}", d=1000)) == b"%016x" % n
             program.process.send_signal(signal.SIGTERM)
             sigterm_at = time.monotonic()
             await expect_close(caller)
@@ -512,20 +512,20 @@
             assert await program.ended() == 0, program.log
             check_no_traceback(program)
 
-    run(body())
+    run_async(body())
 
 
 def test_the_address_of_an_exited_process_can_be_bound_again(tmp_path: Path) -> None:
     """A planned restart uses the same address; nothing of the previous process may block it."""
 
     async def body() -> None:
-        async with backend() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
             caller = await program.first_connection()
-            assert await caller.ask(command("one")) == b"one"
+            assert await caller.request(command("one")) == b"one"
             program.process.send_signal(signal.SIGTERM)
             assert await program.ended() == 0
             with socket.socket() as sock:
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 sock.bind(program.address)
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_tls.py
+++ b/tests/test_net_tls.py
@@ -21,19 +21,19 @@
 from ingress.runtime.tls import read_tls
 from tests.peers import (
     Address,
-    Caller,
     Peer,
     Reader,
+    RespClient,
     Writer,
     command,
     config,
     config_text,
-    entry,
+    endpoint_answer,
+    endpoint_entry,
     read_command,
     resp,
-    run,
-    until,
-    value,
+    run_async,
+    wait_until,
 )
 from tests.test_net_backends import PoolUnderTest
 from tests.test_net_ingress import serving
@@ -55,8 +55,8 @@
     return context
 
 
-async def secure(address: Address, context: ssl.SSLContext) -> Caller:
-    return Caller(*await asyncio.open_connection(*address, ssl=context, server_hostname="127.0.0.1"))
+async def secure(address: Address, context: ssl.SSLContext) -> RespClient:
+    return RespClient(*await asyncio.open_connection(*address, ssl=context, server_hostname="127.0.0.1"))
 
 
 class SecurePeer(Peer):
@@ -67,7 +67,7 @@
             while True:
                 words = await read_command(reader)
                 self.commands.append(words)
-                writer.write(value(words[2] if answer is None else answer))
+                writer.write(endpoint_answer(words[2] if answer is None else answer))
 
         super().__init__(script)
         self.context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
@@ -85,26 +85,26 @@
         async with (
             SecurePeer(server) as peer,
             serving(
-                config(entry(peer.address), tls=listener.spec(), **{"server-tls": {"ca": str(authority.path)}})
+                config(endpoint_entry(peer.address), tls=listener.spec(), **{"server-tls": {"ca": str(authority.path)}})
             ) as (served, address),
         ):
             context = trusting(authority)
             first = await secure(address, context)
-            assert await first.ask(command()) == b"00000000000000aa"
-            assert await first.ask(PING) == b"PONG"
+            assert await first.request(command()) == b"00000000000000aa"
+            assert await first.request(PING) == b"PONG"
             shown = served.admin_commands.answer("show-stat")
             assert isinstance(shown, str) and "app.tls.listener.days_left:30|g" in shown
             assert "app.tls.resumed:0|g" in shown
             served.pool.close_idle_connections("s1")
-            await until(lambda: not served.pool.connection_count)
-            assert await first.ask(command("1" * 16)) == b"1" * 16
+            await wait_until(lambda: not served.pool.connection_count)
+            assert await first.request(command("1" * 16)) == b"1" * 16
             assert peer.connections == 2
             assert served.pool.connector.resumed_sessions == 1  # the second handshake resumed the session
             session = first.writer.get_extra_info("ssl_object").session
             is_resumed = await asyncio.to_thread(reconnect, address, context, session)
             assert is_resumed  # so does the handshake of a client that reconnects
 
-    run(body())
+    run_async(body())
 
 
 def reconnect(address: Address, context: ssl.SSLContext, session: ssl.SSLSession) -> bool:
@@ -122,17 +122,16 @@
         pair = authority.sign("both")
         async with (
             SecurePeer(pair, LONG) as peer,
-            serving(config(entry(peer.address), tls=pair.spec(), **{"server-tls": {"ca": str(authority.path)}})) as (
-                _,
-                address,
-            ),
+            serving(
+                config(endpoint_entry(peer.address), tls=pair.spec(), **{"server-tls": {"ca": str(authority.path)}})
+            ) as (_, address),
         ):
             caller = await secure(address, trusting(authority))
-            assert await caller.ask(command(d=10_000)) == LONG
-            answer = await caller.ask(command("2" * 16, "order", d=10_000, body=LONG))
+            assert await caller.request(command(d=10_000)) == LONG
+            answer = await caller.request(command("2" * 16, "order", d=10_000, body=LONG))
             assert answer == LONG and peer.commands[-1][-1] == LONG
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("data", [PING, b"\x16\x03\x01\x00\x05hello", b"", b"\x16" * 100_000])
@@ -143,16 +142,16 @@
 
     async def body() -> None:
         async with serving(config(tls=authority.sign("ingress").spec())) as (served, address):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(data)
             with pytest.raises((EOFError, ConnectionError, Exception)):
-                assert not await caller.answer()
-            await until(lambda: not served.clients.connections)
+                assert not await caller.read_answer()
+            await wait_until(lambda: not served.clients.connections)
             assert served.clients.shares.total == 0
             good = await secure(address, trusting(authority))
-            assert await good.ask(PING) == b"PONG"
+            assert await good.request(PING) == b"PONG"
 
-    run(body())
+    run_async(body())
 
 
 def test_listener_with_an_authority_serves_only_clients_with_a_certificate(authority: Authority) -> None:
@@ -161,14 +160,14 @@
         tls = authority.sign("ingress").spec(ca=str(authority.path))
         async with serving(config(tls=tls)) as (served, address):
             good = await secure(address, trusting(authority, authority.sign("client")))
-            assert await good.ask(PING) == b"PONG"
+            assert await good.request(PING) == b"PONG"
             for pair in (None, stranger.sign("client")):
                 with pytest.raises((OSError, EOFError)):
                     other = await secure(address, trusting(authority, pair))
-                    await other.ask(PING)
-            await until(lambda: len(served.clients.connections) == 1)
+                    await other.request(PING)
+            await wait_until(lambda: len(served.clients.connections) == 1)
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize("fault", ["authority", "name", "expired", "plain"])
@@ -187,10 +186,10 @@
             pool.pool.connector.tls = read_tls(spec, "server-tls", False)
             pool.send()
             assert await pool.result() == (Outcome.CONNECT_FAILED, None)  # the request was not sent
-            await until(lambda: not pool.pool.connection_count)
+            await wait_until(lambda: not pool.pool.connection_count)
             assert not peer.commands
 
-    run(body())
+    run_async(body())
 
 
 def test_certificate_errors_name_the_configuration_key(authority: Authority, tmp_path: Path) -> None:
@@ -244,7 +243,7 @@
 
         async def serial(context: ssl.SSLContext) -> int:
             caller = await secure(("127.0.0.1", port), context)
-            assert await caller.ask(PING) == b"PONG"
+            assert await caller.request(PING) == b"PONG"
             found = caller.writer.get_extra_info("peercert")
             caller.writer.close()
             return int(found["serialNumber"], 16)
@@ -264,12 +263,12 @@
             process.send_signal(signal.SIGHUP)
             await logged("reload: generation 2")
             assert await serial(context) != first
-            assert await open_connection.ask(PING) == b"PONG"  # open connections stay open
+            assert await open_connection.request(PING) == b"PONG"  # open connections stay open
         finally:
             process.kill()
             await process.wait()
 
-    run(body())
+    run_async(body())
 
 
 def test_certificate_change_during_a_handshake_breaks_neither_it_nor_the_next(authority: Authority) -> None:
@@ -285,7 +284,7 @@
             client_hello = outgoing.read()
             reader, writer = await asyncio.open_connection(*address)
             writer.write(client_hello[:20])
-            await until(lambda: served.clients.connections)
+            await wait_until(lambda: served.clients.connections)
             listen = f"127.0.0.1:{served.config.listen[1]}"
             assert await served.changes.change(read_config(config_text(tls=new.spec(), listen=listen)), "reload") == ""
             writer.write(client_hello[20:])
@@ -301,4 +300,4 @@
             fresh = await secure(address, context)
             assert fresh.writer.get_extra_info("peercert")["subject"] == ((("commonName", "new"),),)
 
-    run(body())
+    run_async(body())
--- a/tests/test_net_upload.py
+++ b/tests/test_net_upload.py
@@ -16,7 +16,20 @@
 from ingress.runtime.metrics import RequestResult
 from ingress.server import client_connection, client_server, client_timeouts, upload_reader
 from ingress.upstream.connection import Connection
-from tests.peers import Caller, Peer, Reader, Writer, backend, command, config, entry, read_command, run, until, value
+from tests.peers import (
+    Peer,
+    Reader,
+    RespClient,
+    Writer,
+    command,
+    config,
+    endpoint_answer,
+    endpoint_entry,
+    fake_endpoint,
+    read_command,
+    run_async,
+    wait_until,
+)
 from tests.peers import resp as words
 from tests.test_net_ingress import Stub, send, serving
 
@@ -32,7 +45,7 @@
         while True:
             arguments = await read_command(reader)
             peer.commands.append(arguments)
-            writer.write(value(b"%d" % len(arguments[-1])))
+            writer.write(endpoint_answer(b"%d" % len(arguments[-1])))
 
     peer = Peer(script)
     return peer
@@ -65,14 +78,14 @@
     async def body() -> None:
         async with (
             length_endpoint() as peer,
-            serving(config(*(entry(peer.address, f"s{n}") for n in range(8)))) as (served, address),
+            serving(config(*(endpoint_entry(peer.address, f"s{n}") for n in range(8)))) as (served, address),
         ):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             data = command("before") + UPLOAD + command("after")
             for at in range(0, len(data), step):
                 caller.writer.write(data[at : at + step])
                 await caller.writer.drain()
-            assert [await caller.answer() for _ in range(3)][1] == b"%d" % len(LONG)
+            assert [await caller.read_answer() for _ in range(3)][1] == b"%d" % len(LONG)
             [long] = [c for c in peer.commands if c[2] == b"long"]
             assert long[4] == LONG and b"d=2000" in long[3]
             assert {c[2] for c in peer.commands} == {b"before", b"long", b"after"}
@@ -81,7 +94,7 @@
                 and served.budget.streaming_uploads == served.budget.command_bytes == 0
             )
 
-    run(body())
+    run_async(body())
 
 
 def test_chunks_are_forwarded_before_the_last_is_received_and_the_timeout_starts_with_the_last() -> None:
@@ -91,25 +104,25 @@
         await reader.readexactly(HEAD + 100)
         first_received.set()
         await reader.readexactly(len(UPLOAD) - HEAD - 100)
-        writer.write(value(b"served"))
+        writer.write(endpoint_answer(b"served"))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             stub = Stub(send)
             served.runner.gateway = stub  # type: ignore[assignment]
             data = UPLOAD.replace(b"d=2000", b"d=0300")
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(data[: HEAD + 100])
             await first_received.wait()
             await asyncio.sleep(0.4)  # Longer than the timeout of the request.
             assert served.metrics.attempts_sent == 0
             caller.writer.write(data[HEAD + 100 :])
-            assert await caller.answer() == b"served"
+            assert await caller.read_answer() == b"served"
             assert [type(e) for e in stub.seen] == [RequestReceived, UploadStarted, UploadFinished, AttemptEnded]
             assert [e.is_chunked for e in stub.of(RequestReceived)] == [True]
 
-    run(body())
+    run_async(body())
 
 
 class SmallBufferSocket(socket.socket):
@@ -127,17 +140,17 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_on.wait()
         arguments = await read_command(reader)
-        writer.write(value(b"%d" % len(arguments[-1])))
+        writer.write(endpoint_answer(b"%d" % len(arguments[-1])))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             peer.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 14)
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             big = command("big", cls="order", body=bytes(resp.MAX_VALUE_BYTES))
             caller.writer.write(big)
-            await until(lambda: any(c.upload_paused for c in served.clients.connections))
-            await until(lambda: served.requests.attempts_in_flight)
+            await wait_until(lambda: any(c.upload_paused for c in served.clients.connections))
+            await wait_until(lambda: served.requests.attempts_in_flight)
             [request] = served.requests.in_flight.values()
             assert request.upload is not None
             attempt = next(iter(served.requests.attempts_in_flight.values()))
@@ -146,9 +159,9 @@
                 buffered += attempt.connection.transport.get_write_buffer_size()
             assert buffered <= 3 * MAX_STREAM_WINDOW
             read_on.set()
-            assert await caller.answer() == b"%d" % resp.MAX_VALUE_BYTES
+            assert await caller.read_answer() == b"%d" % resp.MAX_VALUE_BYTES
 
-    run(body())
+    run_async(body())
 
 
 def test_no_other_attempt_replaces_one_that_has_received_chunks() -> None:
@@ -158,27 +171,27 @@
     async def body() -> None:
         async with (
             Peer(script) as peer,
-            serving(config(entry(peer.address), entry(peer.address, "s2"))) as (served, address),
+            serving(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"))) as (served, address),
         ):
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
-            answer = str(await caller.answer())
+            answer = str(await caller.read_answer())
             assert answer.startswith(
                 "BUSY"
             )  # The connection broke before the last byte, so the request was not executed.
             assert peer.connections == 1
             caller.writer.write(UPLOAD[HEAD + 100 :] + command("next"))
-            await until(lambda: served.requests.received_count == 2)  # The remaining body is read and dropped.
+            await wait_until(lambda: served.requests.received_count == 2)  # The remaining body is read and dropped.
             assert served.budget.streaming_uploads == 0
 
-    run(body())
+    run_async(body())
 
 
 def test_an_attempt_that_never_connected_is_replaced() -> None:
     async def body() -> None:
         async with (
             length_endpoint() as peer,
-            serving(config(entry(("127.0.0.1", 1)), entry(peer.address, "s2"))) as (served, address),
+            serving(config(endpoint_entry(("127.0.0.1", 1)), endpoint_entry(peer.address, "s2"))) as (served, address),
         ):
 
             def plan(event: Event) -> list[Action]:
@@ -187,10 +200,10 @@
                 return send(event)
 
             served.runner.gateway = Stub(plan)  # type: ignore[assignment]
-            caller = await Caller.to(address)
-            assert await caller.ask(UPLOAD) == b"%d" % len(LONG)
+            caller = await RespClient.connect(address)
+            assert await caller.request(UPLOAD) == b"%d" % len(LONG)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_client_that_disconnects_during_its_upload_ends_the_attempt() -> None:
@@ -200,16 +213,20 @@
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
+        async with peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.commands)
             caller.writer.close()
-            await until(lambda: peer.ended and not served.requests.in_flight and not served.requests.attempts_in_flight)
+            await wait_until(
+                lambda: peer.ended_connections
+                and not served.requests.in_flight
+                and not served.requests.attempts_in_flight
+            )
             assert served.metrics.results["order", RequestResult.ABORTED] == 1 and served.budget.streaming_uploads == 0
 
     peer = Peer(script)
-    run(body())
+    run_async(body())
 
 
 def test_a_client_that_is_silent_during_its_upload_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -217,15 +234,15 @@
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
-        async with length_endpoint() as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
+        async with length_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
-            await until(lambda: not served.requests.in_flight)
+                await caller.read_answer()
+            await wait_until(lambda: not served.requests.in_flight)
             assert not peer.commands
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -239,26 +256,26 @@
 )
 def test_a_malformed_long_body_closes_the_connection(data: bytes) -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
-            caller = await Caller.to(address)
+        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(data)
             with pytest.raises((EOFError, ConnectionError)):
                 while True:
-                    assert str(await caller.answer()).startswith("ERR")
-            await until(lambda: not served.requests.in_flight and not served.clients.connections)
+                    assert str(await caller.read_answer()).startswith("ERR")
+            await wait_until(lambda: not served.requests.in_flight and not served.clients.connections)
 
-    run(body())
+    run_async(body())
 
 
 def test_an_upload_paused_by_the_ingress_is_not_overdue_when_it_resumes() -> None:
     """The sweep runs in between; the client could not send anything while reading was paused."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = Stub(lambda event: [])  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
-            await until(lambda: [c for c in served.clients.connections if c.upload_paused])
+            await wait_until(lambda: [c for c in served.clients.connections if c.upload_paused])
             [client] = served.clients.connections
             skipped = 10 * upload_reader.CHUNK_TIMEOUT
             clock = served.clients.clock
@@ -271,22 +288,22 @@
             client_timeouts.check_timeouts(client, served.clients.clock() + 1.1 * upload_reader.CHUNK_TIMEOUT)
             assert client.is_closing
 
-    run(body())
+    run_async(body())
 
 
 def test_a_command_that_the_ingress_does_not_read_is_not_overdue() -> None:
     """Half a command was received before reading paused for a full pipeline; no timeout runs during the pause."""
 
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (served, address):
+        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = Stub(send)  # type: ignore[assignment]
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(
                 b"".join(command(f"r{n}") for n in range(client_connection.MAX_PIPELINED + 1)) + b"*4\r\n$8"
             )
-            await until(lambda: [c for c in served.clients.connections if c.pipeline_full])
+            await wait_until(lambda: [c for c in served.clients.connections if c.pipeline_full])
             [client] = served.clients.connections
             client_timeouts.check_timeouts(client, served.clients.clock() + 1.1 * client_timeouts.COMMAND_TIMEOUT)
             assert not client.is_closing
 
-    run(body())
+    run_async(body())
--- a/tests/test_quota_replay.py
+++ b/tests/test_quota_replay.py
@@ -32,7 +32,7 @@
 from ingress.observability.quota_text import as_text
 from ingress.observability.request_log import UNKNOWN_NAMES, FleetLog, TooManyRequestsError
 from ingress.runtime.logs import JsonLines
-from tests.peers import SETTINGS, Caller, backend, config, config_text, entry, resp, run
+from tests.peers import SETTINGS, RespClient, config, config_text, endpoint_entry, fake_endpoint, resp, run_async
 from tests.test_net_ingress import serving
 
 REQUESTS = "ingress.requests"
@@ -306,12 +306,12 @@
     names = b"c=read,t=basic,d=2000,units=2.5,spread=4,first=1,r=1"
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(resp(b"API.READ", A.encode(), b"one", names)) == b"one"
+        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
+            assert await caller.request(resp(b"API.READ", A.encode(), b"one", names)) == b"one"
 
     with caplog.at_level(logging.INFO), caplog.at_level(logging.INFO, REQUESTS):
-        run(body())
+        run_async(body())
     log = FleetLog(settings(), 10)  # of a smaller quota than the ingress keeps
     for record in caplog.records:
         log.read_line("n0", JsonLines().format(record).encode())
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -31,7 +31,7 @@
 from ingress.endpoint_registry.list_api import NOTIFY_DELAY
 from ingress.endpoint_registry.service import Service
 from ingress.endpoint_registry.store import Store, StoreError
-from tests.peers import STARTED
+from tests.peers import STARTED_PROCESSES
 
 ROOT = Path(__file__).resolve().parent.parent
 TOKEN = "open sesame"
@@ -51,7 +51,7 @@
     }
 
 
-def run(body: Any) -> None:
+def run_async(body: Any) -> None:
     asyncio.run(asyncio.wait_for(body, 60))
 
 
@@ -114,7 +114,7 @@
             _, gone = await client.get(f"/api/targets?after={two}")
             assert [(r["id"], r["state"]) for r in gone["servers"]] == [("one", "gone")]
 
-    run(body())
+    run_async(body())
 
 
 def test_one_change_wakes_all_and_is_encoded_once(tmp_path: Path) -> None:
@@ -133,7 +133,7 @@
                 counts.append(service.catalog.encode_count - before)
             assert counts == [1, 1]
 
-    run(body())
+    run_async(body())
 
 
 def test_changes_that_come_together_make_one_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -149,7 +149,7 @@
             _, answer = await task
             assert {r["id"] for r in answer["servers"]} == {f"s{n}" for n in range(5)}
 
-    run(body())
+    run_async(body())
 
 
 def test_no_change_between_two_calls_is_missed(tmp_path: Path) -> None:
@@ -172,7 +172,7 @@
             await writing
             assert seen == {r["id"]: r for r in service.catalog.entries()}
 
-    run(body())
+    run_async(body())
 
 
 @pytest.mark.parametrize(
@@ -201,7 +201,7 @@
             else:
                 assert query.partition("=")[0] in answer["errors"][0]
 
-    run(body())
+    run_async(body())
 
 
 def test_a_wait_above_the_limit_is_the_limit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -213,7 +213,7 @@
             _, none = await client.watch(version, 10**9)
             assert none == {"version": version, "full": False, "servers": []}
 
-    run(body())
+    run_async(body())
 
 
 def test_too_many_watchers_are_told_to_come_again_at_times_of_their_own(
@@ -237,7 +237,7 @@
             await client.put("one")
             assert [status for status, _ in await asyncio.gather(*tasks)] == [200] * 3
 
-    run(body())
+    run_async(body())
 
 
 def test_too_many_connections_are_turned_away(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -251,7 +251,7 @@
             for _, other in [*held, (reader, writer)]:
                 other.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_changes_reach_back_as_far_as_the_tombstones_kept(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -296,7 +296,7 @@
             assert status == 400 and any(field in fault for fault in answer["errors"]), answer
             assert service.catalog.version == before and not service.catalog.entries()
 
-    run(script())
+    run_async(script())
 
 
 def test_several_at_once_are_one_version_or_none(tmp_path: Path) -> None:
@@ -310,7 +310,7 @@
             status, answer = await client.call("POST", "/api/targets", {"servers": [row("a"), row("b")]})
             assert (status, answer["version"]) == (200, before + 1) and len(service.catalog.entries()) == 2
 
-    run(body())
+    run_async(body())
 
 
 def test_drain_remove_and_conditions(tmp_path: Path) -> None:
@@ -339,7 +339,7 @@
             assert (await client.call("DELETE", "/api/targets/x", **now))[0] == 200
             assert not service.catalog.entries()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_write_needs_the_token_and_reading_none(tmp_path: Path) -> None:
@@ -352,7 +352,7 @@
             service.token = ""
             assert (await client.call("PUT", "/api/targets/s", row("s"), Authorization="Bearer "))[0] == 401
 
-    run(body())
+    run_async(body())
 
 
 def test_a_full_disk_refuses_the_write_and_the_service_goes_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -369,7 +369,7 @@
             service.store.base.execute("PRAGMA max_page_count = 100000")
             assert await client.put("two") == version + 1
 
-    run(body())
+    run_async(body())
 
 
 # Bad clients
@@ -394,7 +394,7 @@
                 answer.cancel()  # an idle one is kept for as long as any other
             writer.close()
 
-    run(body())
+    run_async(body())
 
 
 def test_an_endless_head_and_a_body_over_the_limit(tmp_path: Path) -> None:
@@ -410,7 +410,7 @@
                 status = answer.status
             assert status == 413 and not service.catalog.entries()
 
-    run(body())
+    run_async(body())
 
 
 def test_a_reader_that_takes_nothing_is_let_go_and_holds_up_nobody(
@@ -432,7 +432,7 @@
             await asyncio.to_thread(closed, sock)
             assert service.catalog.encode_count <= before + 1
 
-    run(body())
+    run_async(body())
 
 
 def closed(sock: socket.socket) -> None:
@@ -503,7 +503,7 @@
             assert (await client.call("POST", "/api/release"))[0] == 200
             assert [r["id"] for r in service.catalog.entries()] == ["kept"]
 
-    run(body())
+    run_async(body())
 
 
 # The store
@@ -678,7 +678,7 @@
         cwd=ROOT,
         stderr=asyncio.subprocess.PIPE,
     )
-    STARTED.append(child)
+    STARTED_PROCESSES.append(child)
     assert child.stderr is not None
     while b" on " not in (line := await child.stderr.readline()):
         assert line, "it has ended"
@@ -700,7 +700,7 @@
                 child.send_signal(signal.SIGKILL if turn % 2 else signal.SIGTERM)
                 assert await child.wait() == (-signal.SIGKILL if turn % 2 else 0)
 
-    run(body())
+    run_async(body())
 
 
 def test_a_service_that_was_stopped_for_longer_than_a_lease_ends_none(tmp_path: Path) -> None:
@@ -721,7 +721,7 @@
         child.terminate()
         assert await child.wait() == 0
 
-    run(body())
+    run_async(body())
 
 
 # A model
--- a/tests/test_registry_backups.py
+++ b/tests/test_registry_backups.py
@@ -20,9 +20,9 @@
 from ingress.endpoint_registry.backups import backups, choose, take_backup, verify
 from ingress.endpoint_registry.registration import Entry, Registration, RegistrationRejectedError
 from ingress.endpoint_registry.store import SCHEMA, Store, StoreError
-from tests.peers import until
+from tests.peers import wait_until
 from tests.test_net_restart import free_port
-from tests.test_registry import TOKEN, row, run, serving
+from tests.test_registry import TOKEN, row, run_async, serving
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -241,17 +241,17 @@
         async with serving(tmp_path / "one") as (first, _, address):
             one = Registration([address], Entry("s-1", "127.0.0.1:6379", 0.5), TOKEN, random.Random(1))
             task = asyncio.create_task(one.run(stop))
-            await until(lambda: one.renewals >= 3)
+            await wait_until(lambda: one.renewals >= 3)
             assert [entry["id"] for entry in first.catalog.entries()] == ["s-1"]
-        await until(lambda: one.failures >= 2)  # the service is gone; nothing ends
+        await wait_until(lambda: one.failures >= 2)  # the service is gone; nothing ends
         async with serving(tmp_path / "another") as (second, _, address):
             one.services[:] = [("127.0.0.1", 1), address]
-            await until(lambda: [entry["id"] for entry in second.catalog.entries()] == ["s-1"])
+            await wait_until(lambda: [entry["id"] for entry in second.catalog.entries()] == ["s-1"])
             stop.set()
             await task
             assert not second.catalog.entries()  # it took itself off the list
 
-    run(body())
+    run_async(body())
 
 
 def test_a_wrong_token_or_entry_ends_it_with_the_reason(tmp_path: Path) -> None:
@@ -266,7 +266,7 @@
                     with pytest.raises(RegistrationRejectedError, match=told):
                         await one.register_or_renew(session)
 
-    run(body())
+    run_async(body())
 
 
 def test_registrations_that_start_together_do_not_renew_together() -> None:
@@ -333,7 +333,7 @@
         assert await listed() == []
 
     try:
-        run(body())
+        run_async(body())
     finally:
         for child in (server, service):
             child.kill()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -19,12 +19,22 @@
 from ingress.endpoint_registry import relay as relay_module
 from ingress.endpoint_registry.http_server import Listener
 from ingress.endpoint_registry.relay import Relay, RelayCache
-from tests.peers import STARTED, Caller, Peer, Reader, Writer, command, config, read_command, value
+from tests.peers import (
+    STARTED_PROCESSES,
+    Peer,
+    Reader,
+    RespClient,
+    Writer,
+    command,
+    config,
+    endpoint_answer,
+    read_command,
+)
 from tests.test_net_control import SECOND
 from tests.test_net_figures import read_metrics
 from tests.test_net_ingress import serving as ingress
 from tests.test_net_restart import free_port
-from tests.test_registry import ROOT, TOKEN, Client, row, run, serving
+from tests.test_registry import ROOT, TOKEN, Client, row, run_async, serving
 
 
 @asynccontextmanager
@@ -91,7 +101,7 @@
             _, answer = await near.watch(version)
             assert [r["state"] for r in answer["servers"]] == ["gone"] and answer["version"] > version
 
-    run(body())
+    run_async(body())
 
 
 def test_through_an_outage_it_serves_what_it_holds_and_comes_back(tmp_path: Path) -> None:
@@ -116,7 +126,7 @@
                 await until(lambda: names(relay) == ["one", "two"])
                 assert relay.catalog.version > version
 
-    run(body())
+    run_async(body())
 
 
 def test_started_in_an_outage_without_a_list_it_says_come_again() -> None:
@@ -127,7 +137,7 @@
         ):
             assert answer.status == 503 and int(answer.headers["Retry-After"]) >= 1
 
-    run(body())
+    run_async(body())
 
 
 def test_what_is_stale_or_makes_no_sense_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -154,7 +164,7 @@
             told[:] = "A", {"version": 61, "full": True, "servers": [row("one"), {"id": "bad"}, row("two")]}
             await until(lambda: names(relay) == ["one", "two"])  # what makes sense of it
 
-    run(body())
+    run_async(body())
 
 
 def test_another_store_is_followed_and_readers_see_versions_rise(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -175,7 +185,7 @@
             states = {r["id"]: r["state"] for r in answer["servers"]}
             assert states == {"four": "ready", "two": "gone", "three": "gone"}
 
-    run(body())
+    run_async(body())
 
 
 def test_a_damaged_last_list_is_not_used(tmp_path: Path) -> None:
@@ -194,7 +204,7 @@
     child = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "ingress.endpoint_registry", *words, cwd=ROOT, stderr=asyncio.subprocess.PIPE
     )
-    STARTED.append(child)
+    STARTED_PROCESSES.append(child)
     assert child.stderr is not None
     while b" on " not in (line := await child.stderr.readline()):
         assert line, "it has ended"
@@ -221,7 +231,7 @@
                 words = await read_command(reader)
                 if name in told_gone and time.monotonic() - told_gone[name] > 2.0:
                     late.append(name)
-                writer.write(value(words[2]))
+                writer.write(endpoint_answer(words[2]))
 
         return play
 
@@ -243,9 +253,9 @@
                 await until(lambda: served.pool.listed_count() == 1)
 
                 async def flow(number: int) -> None:
-                    caller = await Caller.to(address)
+                    caller = await RespClient.connect(address)
                     while not over.is_set():
-                        answers.append(await caller.ask(command(customer=number)))
+                        answers.append(await caller.request(command(customer=number)))
                         await asyncio.sleep(0.02)
 
                 flows = [asyncio.create_task(flow(number)) for number in range(4)]
@@ -280,4 +290,4 @@
             one.terminate()
             assert await one.wait() == 0
 
-    run(body())
+    run_async(body())
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -31,7 +31,7 @@
 from ingress.observability.poller import PolledIngress, PollState
 from ingress.observability.summary import summarize
 from ingress.observability.terminal import MAX_LINES, render
-from tests.peers import Caller, Peer, Reader, Writer, backend, command, entry, run, until
+from tests.peers import Peer, Reader, RespClient, Writer, command, endpoint_entry, fake_endpoint, run_async, wait_until
 from tests.test_net_signals import check_no_traceback, launched
 
 GATEWAYS, SERVERS, MANY_SERVERS = 230, 600, 3_000
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("indent", [None, 2])
 def test_a_list_of_thousands_of_endpoints_may_arrive_in_pieces(count: int, chunked: bool, indent: int | None) -> None:
-    rows = [entry((f"10.{n // 250}.{n % 250}.1", 6379), f"s-{n:08x}") for n in range(count)]
+    rows = [endpoint_entry((f"10.{n // 250}.{n % 250}.1", 6379), f"s-{n:08x}") for n in range(count)]
     complete = {"version": 41, "full": True, "servers": rows}
     update = {"version": 42, "full": False, "servers": [row | {"state": "draining"} for row in rows]}
     responses = [http_response(json.dumps(source, indent=indent).encode(), chunked) for source in (complete, update)]
@@ -207,7 +207,7 @@
                 time.time,
             )
             task = asyncio.create_task(discovery.run())
-            await until(lambda: len(received) == 2)
+            await wait_until(lambda: len(received) == 2)
             task.cancel()
             await asyncio.gather(task, return_exceptions=True)
             assert registry.connections == 1
@@ -216,15 +216,15 @@
             assert [endpoint.id for endpoint in endpoint_list.endpoints] == [row["id"] for row in rows]
             assert endpoint_list.addresses[rows[-1]["id"]] == (f"10.{(count - 1) // 250}.{(count - 1) % 250}.1", 6379)
 
-    run(body())
+    run_async(body())
 
 
 def test_descriptors_depend_on_connections_and_not_on_the_length_of_the_endpoint_list(tmp_path: Path) -> None:
     """Sequential requests use no more than one connection to each server that the gateway prefers."""
 
     async def body() -> None:
-        async with backend() as peer:
-            entries = [entry(peer.address, f"s-{n:08x}") for n in range(SERVERS)]
+        async with fake_endpoint() as peer:
+            entries = [endpoint_entry(peer.address, f"s-{n:08x}") for n in range(SERVERS)]
             async with launched(tmp_path, *entries) as program:
                 await program.ready()
 
@@ -233,16 +233,16 @@
 
                 idle_count = descriptor_count()
                 assert idle_count <= RESERVED_DESCRIPTORS
-                caller = await Caller.to(program.address)
+                caller = await RespClient.connect(program.address)
                 for number in range(4 * SUBSET_SIZE):
-                    assert await caller.ask(command(f"{number:016x}", customer=number)) == b"%016x" % number
+                    assert await caller.request(command(f"{number:016x}", customer=number)) == b"%016x" % number
                 # There are one client connection, and one for a call to discovery that may be in progress.
                 assert descriptor_count() <= idle_count + 2 + SUBSET_SIZE
                 assert peer.connections <= SUBSET_SIZE
                 check_no_traceback(program)
                 caller.writer.close()
 
-    run(body())
+    run_async(body())
 
 
 # Tools that show many processes and servers
