--- a/tests/test_checkpoint.py
+++ b/tests/test_checkpoint.py
@@ -46,7 +46,7 @@
 from tests.conftest import BASIC_PLAN, FLEET, SETTINGS
 from tests.peers import RespClient, command, config, endpoint_entry, fake_endpoint, run_async, wait_until
 from tests.test_net_handover import SMALL_BURST_SETTINGS
-from tests.test_net_members import IngressProcesses, ask
+from tests.test_net_members import IngressProcesses, admin_call
 
 SLOW_REFILL_SETTINGS = replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=0.0002, burst=8.0),))
 FULL_SLICE_UNITS = 5.0  # the burst of 8 over 2 gateways, and one request
@@ -546,7 +546,9 @@
                 child, control = await processes.start()
                 caller = await RespClient.connect(processes.address)
                 assert [await caller.request(command(str(n))) for n in range(4)] == [b"0", b"1", b"2", b"3"]
-                while checkpoint and not re.search(r"checkpoint\.snapshots:[1-9]", await ask(control, "show-stat")):
+                while checkpoint and not re.search(
+                    r"checkpoint\.snapshots:[1-9]", await admin_call(control, "show-stat")
+                ):
                     await asyncio.sleep(0.02)  # a process killed before its first snapshot leaves no usable checkpoint
                 child.send_signal(signal.SIGKILL)
                 await child.wait()
@@ -556,7 +558,7 @@
                 assert [isinstance(answer, bytes) for answer in answers] == expected
                 if checkpoint:  # other customers have their quota
                     assert await caller.request(command("x", customer=8)) == b"x"
-                    metrics = await ask(control, "show-stat")
+                    metrics = await admin_call(control, "show-stat")
                     assert "checkpoint.on:1|" in metrics
 
     run_async(body())
@@ -576,7 +578,7 @@
             assert await caller.request(command("2")) == b"2"
             old.send_signal(signal.SIGTERM)
             assert await old.wait() == 0
-            while not re.search(r"checkpoint\.snapshots:[1-9]", await ask(control, "show-stat")):
+            while not re.search(r"checkpoint\.snapshots:[1-9]", await admin_call(control, "show-stat")):
                 await asyncio.sleep(0.02)  # until then the checkpoint is that of the old process
             assert await caller.request(command("3")) == b"3"
             new.send_signal(signal.SIGKILL)
--- a/tests/test_exporter.py
+++ b/tests/test_exporter.py
@@ -21,8 +21,8 @@
 from ingress.runtime.metrics import Metrics, RequestResult
 
 from .peers import Address, RespClient, command, config, endpoint_entry, fake_endpoint, run_async, wait_until
-from .test_net_control import SECOND
-from .test_net_ingress import serving
+from .test_net_control import ADMIN_LISTEN
+from .test_net_ingress import running_ingress
 
 Sample = tuple[str, frozenset[tuple[str, str]]]
 
@@ -121,7 +121,7 @@
     async def body() -> None:
         async with (
             fake_endpoint() as peer,
-            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address), control=ADMIN_LISTEN)) as (served, address),
         ):
             assert served.admin_server is not None
             second: Address = served.admin_server.listening_socket.getsockname()
--- a/tests/test_fleet_poller.py
+++ b/tests/test_fleet_poller.py
@@ -40,8 +40,8 @@
     wait_until,
 )
 from .peers import Reader as Stream
-from .test_net_control import SECOND
-from .test_net_ingress import serving
+from .test_net_control import ADMIN_LISTEN
+from .test_net_ingress import running_ingress
 
 
 def answer(served: int, refused: int = 0, failed: int = 0, **gauges: int) -> str:
@@ -223,7 +223,7 @@
     async def body() -> None:
         async with (
             fake_endpoint() as peer,
-            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address), control=ADMIN_LISTEN)) as (served, address),
         ):
             assert served.admin_server is not None
             second: Address = served.admin_server.listening_socket.getsockname()
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -18,8 +18,8 @@
 from tests.golden_files import GOLDEN, golden
 from tests.peers import RespClient, command, config, endpoint_entry, fake_endpoint, run_async
 from tests.test_golden import OTHER, ROW, in_folder, process
-from tests.test_net_control import SECOND, call
-from tests.test_net_ingress import serving
+from tests.test_net_control import ADMIN_LISTEN, admin_call
+from tests.test_net_ingress import running_ingress
 
 LINES = (b"ready", b"show-stat", b"drain", b"resume", b"revert", b"show-members", b"show-config", b"colour", b"")
 
@@ -32,11 +32,11 @@
         with tempfile.TemporaryDirectory() as folder:
             async with fake_endpoint() as peer:
                 kept = {"folder": folder, "every_s": 1000}
-                settings = config(endpoint_entry(peer.address), control=SECOND, checkpoint=kept)
-                async with serving(settings) as (served, address):
+                settings = config(endpoint_entry(peer.address), control=ADMIN_LISTEN, checkpoint=kept)
+                async with running_ingress(settings) as (served, address):
                     caller = await RespClient.connect(address)
                     assert await caller.request(command("one")) == b"one"
-                    answers.extend([(line, await call(served, line)) for line in LINES])
+                    answers.extend([(line, await admin_call(served, line)) for line in LINES])
                     assert served.checkpoint_writer is not None
                     await served.checkpoint_writer.close(clean=False)
 
--- a/tests/test_golden_logs.py
+++ b/tests/test_golden_logs.py
@@ -20,7 +20,7 @@
 from ingress.runtime.logs import INGRESS_LOG, REQUESTS, JsonLines
 from tests.golden_files import GOLDEN, as_json, golden
 from tests.peers import RespClient, config, endpoint_entry, fake_endpoint, resp, run_async
-from tests.test_net_ingress import serving
+from tests.test_net_ingress import running_ingress
 
 LOGS = GOLDEN / "fleet"
 LOGS_SHA256 = "4729c72865248563df6b730557c87c1df6f2deb1d20c6e0bc51c11c0431dc190"
@@ -93,7 +93,7 @@
     names = b"c=read,t=basic,d=2000,units=2.5,spread=4,first=1"
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await RespClient.connect(address)
             assert await caller.request(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
             served.gateway.handle = refuse  # type: ignore[method-assign]
--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -16,7 +16,7 @@
 from ingress.endpoint_registry.catalog import Catalog
 from ingress.endpoint_registry.store import Store
 from tests.golden_files import GOLDEN, as_json, golden
-from tests.test_registry import TOKEN, row, run_async, serving
+from tests.test_registry import TOKEN, endpoint_row, run_async, running_registry
 
 STORE = "registry"
 BACKUPS = "registry-copies"
@@ -27,8 +27,11 @@
     """Write a store with three entries, one of which has a lease, and with a fourth that was removed."""
     with patch("uuid.uuid4", lambda: SimpleNamespace(hex=NAME)):
         store = Store(folder, now=lambda: 1_700_000_000_000, boot=lambda: "boot-1")
-    store.write(store.version + 1, [(row("s1"), 0.0), (row("s2", "draining", 6380), 600.5), (row("gone"), 0.0)])
-    store.write(store.version + 1, [(row("gone", "gone"), 0.0), (row("Zoë"), 0.0)])
+    store.write(
+        store.version + 1,
+        [(endpoint_row("s1"), 0.0), (endpoint_row("s2", "draining", 6380), 600.5), (endpoint_row("gone"), 0.0)],
+    )
+    store.write(store.version + 1, [(endpoint_row("gone", "gone"), 0.0), (endpoint_row("Zoë"), 0.0)])
     return store
 
 
@@ -79,9 +82,9 @@
     entries = {entry["id"]: (entry, changed, lease) for entry, changed, lease in store.rows}
     assert (store.name, store.version) == (NAME, version)
     assert entries == {
-        "s1": (row("s1"), version - 1, 0.0),
-        "s2": (row("s2", "draining", 6380), version - 1, 600.5),
-        "Zoë": (row("Zoë"), version, 0.0),
+        "s1": (endpoint_row("s1"), version - 1, 0.0),
+        "s2": (endpoint_row("s2", "draining", 6380), version - 1, 600.5),
+        "Zoë": (endpoint_row("Zoë"), version, 0.0),
     }
     store.close()
     assert tables(tmp_path / "list" / "list.db") == golden("registry-tables.json")
@@ -117,7 +120,7 @@
     ("POST", "/api/targets/s1/drain", None, True),
     ("DELETE", "/api/targets/s2", None, True),
     ("GET", "/api/targets", None, True),
-    ("POST", "/api/targets", json.dumps({"servers": [row("s5")]}), True),
+    ("POST", "/api/targets", json.dumps({"servers": [endpoint_row("s5")]}), True),
     ("POST", "/api/targets", json.dumps({"servers": [{"id": "s6", "colour": 1}]}), True),
     ("POST", "/api/release", None, True),
     ("DELETE", "/api/targets/none", None, True),
@@ -130,7 +133,7 @@
     lines = []
 
     async def body(folder: Path) -> None:
-        async with serving(folder) as (_, client, _):
+        async with running_registry(folder) as (_, client, _):
             for method, path, data, is_authorized in CALLS:
                 headers = {"Authorization": f"Bearer {TOKEN}"} if is_authorized else {}
                 async with client.web.request(method, client.base + path, data=data, headers=headers) as answer:
@@ -150,8 +153,8 @@
 
 def tombstone() -> bytes:
     """Return the answer to a watch after an entry was removed."""
-    catalog = Catalog(1, [(row("s1"), 1), (row("s2"), 1)])
-    catalog.apply(2, [row("s2", "gone")])
+    catalog = Catalog(1, [(endpoint_row("s1"), 1), (endpoint_row("s2"), 1)])
+    catalog.apply(2, [endpoint_row("s2", "gone")])
     return catalog.response(1)
 
 
--- a/tests/test_net_bad_peers.py
+++ b/tests/test_net_bad_peers.py
@@ -37,8 +37,8 @@
     run_async,
     wait_until,
 )
-from tests.test_net_ingress import serving
-from tests.test_net_signals import check_no_traceback, fleet, launched
+from tests.test_net_ingress import running_ingress
+from tests.test_net_signals import check_no_traceback, eight_endpoints, launched
 
 PAY = {"name": "pay", "aim-s": 1.0, "give-up-s": 2.0, "importance": 1.0, "semantics": "unsafe"}
 UNSAFE = SETTINGS | {"categories": [*SETTINGS["categories"], PAY]}
@@ -100,7 +100,7 @@
     """Under many concurrent requests, a released connection goes to the request that has waited longest."""
 
     async def body() -> None:
-        async with duplicating_endpoint(delay)[0] as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with duplicating_endpoint(delay)[0] as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             wrong = list[tuple[bytes, bytes]]()
             served = 0
@@ -223,7 +223,7 @@
     async def body() -> None:
         async with (
             scripted_endpoint(*[answer] * 9, then=then) as peer,
-            serving(config(*fleet(peer), settings=UNSAFE)) as (served, address),
+            running_ingress(config(*eight_endpoints(peer), settings=UNSAFE)) as (served, address),
         ):
             caller = await RespClient.connect(address)
             started_at = time.monotonic()
@@ -280,7 +280,7 @@
     names = b"c=read,t=basic,d=2000,units=2.5,spread=3,first=1" + (b",r=1" if repeat else b"")
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
             caller = await RespClient.connect(address)
             assert await caller.request(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
 
@@ -307,7 +307,10 @@
     refusal: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
-        async with scripted_endpoint(refusal) as peer, serving(config(*fleet(peer), settings=UNSAFE)) as (_, address):
+        async with (
+            scripted_endpoint(refusal) as peer,
+            running_ingress(config(*eight_endpoints(peer), settings=UNSAFE)) as (_, address),
+        ):
             caller = await RespClient.connect(address)
             assert await caller.request(command("one", "pay")) == b"one"
             assert [words[2] for words in peer.commands] == [b"one"] * 2
@@ -325,7 +328,7 @@
             closed.bind(("127.0.0.1", 0))  # Bound but not listening.
             async with (
                 fake_endpoint() as peer,
-                serving(
+                running_ingress(
                     config(
                         endpoint_entry(peer.address),
                         *(endpoint_entry(closed.getsockname(), f"r{n}") for n in range(3)),
@@ -359,7 +362,10 @@
                     await asyncio.sleep(0.2)
                     writer.write(endpoint_answer(words[2]))
 
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address), settings=UNSAFE)) as (_, address):
+        async with (
+            Peer(script) as peer,
+            running_ingress(config(endpoint_entry(peer.address), settings=UNSAFE)) as (_, address),
+        ):
             caller = await RespClient.connect(address)
             own_answers = 0
             for n in range(3):
@@ -482,7 +488,7 @@
     """All malformed inputs are sent at once, alongside a client that sends requests all the time."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             over = asyncio.Event()
             asked = 0
@@ -528,7 +534,7 @@
 
 def test_a_flood_of_60_mb_gets_an_error_line_or_a_close_in_time(tmp_path: Path) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             times: dict[str, Any] = {}
             for name, (data, reads) in FLOODS.items():
@@ -553,7 +559,7 @@
     """The specification limits a value to 64 KiB, and a request that never ends is malformed."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             seconds = await asyncio.wait_for(
                 time_to_reject(program.address, b"x", 1 << 20, 0.3, before=LONG % 70_000), LARGE_REJECT_TIMEOUT_S + 1
@@ -568,7 +574,7 @@
 )
 def test_a_bulk_string_without_crlf_at_its_declared_size_is_malformed(data: bytes) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(*fleet(peer))) as (_, address):
+        async with fake_endpoint() as peer, running_ingress(config(*eight_endpoints(peer))) as (_, address):
             assert await time_to_reject(address, data) < REJECT_TIMEOUT_S
             assert not peer.commands
 
@@ -578,7 +584,7 @@
 def test_more_silent_clients_than_the_connection_limit_are_each_closed_in_time(tmp_path: Path) -> None:
     async def body() -> None:
         limits = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer), limits=limits) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer), limits=limits) as program:
             await program.ready()
             times = await asyncio.gather(
                 *(asyncio.wait_for(time_to_reject(program.address, data), 8.0) for data in [b"", b"*4\r\n"] * 150)
@@ -613,7 +619,7 @@
     assert b"".join(words).count(new) == 1
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
             caller = await RespClient.connect(address)
             assert str(await caller.request(resp(*words))).startswith("ERR ")
             assert not peer.commands
--- a/tests/test_net_changes.py
+++ b/tests/test_net_changes.py
@@ -53,17 +53,17 @@
     run_async,
     wait_until,
 )
-from tests.test_net_control import SECOND, call
-from tests.test_net_handover import process
-from tests.test_net_ingress import serving
-from tests.test_net_restart import free_port, program, start
+from tests.test_net_control import ADMIN_LISTEN, admin_call
+from tests.test_net_handover import ingress_process
+from tests.test_net_ingress import running_ingress
+from tests.test_net_restart import free_port, running_program, start_program
 from tests.test_settings import FIXED
 
 PLAN = SETTINGS["contracts"][0]
 
 
 def plain(peer: Peer) -> Config:
-    return config(endpoint_entry(peer.address), control=SECOND)
+    return config(endpoint_entry(peer.address), control=ADMIN_LISTEN)
 
 
 def with_plan(**changes: Any) -> dict[str, Any]:
@@ -72,7 +72,7 @@
 
 def like(served: Ingress, **changes: Any) -> Config:
     """The configuration that runs, with changes."""
-    own = {"seed": "1", "control": SECOND}
+    own = {"seed": "1", "control": ADMIN_LISTEN}
     return read_config(json.dumps(dict(served.config.document) | own | changes))
 
 
@@ -110,11 +110,11 @@
 
 
 async def said(served: Ingress, line: bytes) -> str:
-    return (await call(served, line)).strip()
+    return (await admin_call(served, line)).strip()
 
 
 async def shown(served: Ingress) -> dict[str, list[str]]:
-    lines = (await call(served, b"show-config")).splitlines()
+    lines = (await admin_call(served, b"show-config")).splitlines()
     assert lines.pop() == "eof"
     found: dict[str, list[str]] = {}
     for line in lines:
@@ -125,7 +125,7 @@
 
 def test_a_change_is_applied_whole_and_shown() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, address):
             caller = await RespClient.connect(address)
             before = await shown(served)
             assert [before[key] for key in ("generation", "cause", "refused")] == [["1"], ["start"], ["none"]]
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize(("key", "text"), [("name", "another"), ("listen", "127.0.0.1:1"), ("control", "127.0.0.1:2")])
 def test_what_cannot_change_refuses_the_whole_change(key: str, text: str) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             before = state(served)
             new = like(served, settings=with_plan(refill=7.0), **{key: text})
             reason = await served.changes.change(new, "reload")
@@ -178,7 +178,7 @@
 
 def test_a_failure_at_each_step_of_preparing_leaves_everything_as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, address):
             caller = await RespClient.connect(address)
             told = SETTINGS | {
                 "family-info": {"counter": True, "count-wait-s": 0.1},
@@ -210,7 +210,7 @@
 
 def test_a_seed_or_an_older_list_alone_is_no_change() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             before = state(served)
             older = {"version": 0, "full": True, "servers": list[Any]()}
             assert not await served.changes.change(like(served, seed="77", known=older), "reload")
@@ -221,7 +221,7 @@
 
 def test_revert_goes_back_step_by_step_and_a_later_reload_applies_the_file_again() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             assert await said(served, b"revert") == "fail there is no generation before"
             files = [like(served, settings=with_plan(refill=rate)) for rate in (7.0, 8.0)]
             for file in files:
@@ -262,7 +262,7 @@
         writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(plain(peer)) as (served, address):
+        async with Peer(script) as peer, running_ingress(plain(peer)) as (served, address):
             first, second = await RespClient.connect(address), await RespClient.connect(address)
             first.writer.write(command("open"))
             await wait_until(lambda: served.requests.attempts_in_flight)
@@ -290,7 +290,7 @@
             writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(plain(peer)) as (served, address):
+        async with Peer(script) as peer, running_ingress(plain(peer)) as (served, address):
             callers = [await RespClient.connect(address) for _ in range(40)]
             for caller in callers:
                 assert await caller.request(command("quick")) == b"quick"
@@ -330,7 +330,7 @@
 
 def test_many_changes_leave_no_generation_behind_but_those_that_are_kept() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, address):
             caller, before = await RespClient.connect(address), alive()
             for number in range(60):
                 told = SETTINGS | {
@@ -405,7 +405,7 @@
 
 @asynccontextmanager
 async def pair(peer: Peer, path: Path) -> AsyncIterator[tuple[Ingress, Ingress]]:
-    async with process(plain(peer), path) as (first, _), process(plain(peer), path) as (second, _):
+    async with ingress_process(plain(peer), path) as (first, _), ingress_process(plain(peer), path) as (second, _):
         await wait_until(lambda: first.process_group.successor is not None)
         yield first, second
 
@@ -492,15 +492,15 @@
 def test_a_process_that_comes_runs_what_the_one_before_runs_whatever_its_file_says(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(plain(peer), path) as (first, _):
+        async with fake_endpoint() as peer, ingress_process(plain(peer), path) as (first, _):
             assert not await first.changes.change(like(first, settings=with_plan(refill=7.0)), "reload")
-            async with process(plain(peer), path) as (second, _):
+            async with ingress_process(plain(peer), path) as (second, _):
                 assert rates(first, second) == [7.0, 7.0]
                 assert second.changes.versions.current.cause == "take over"
                 assert not await second.changes.change(like(second, settings=with_plan(refill=8.0)), "reload")
                 await wait_until(lambda: rates(first, second) == [8.0, 8.0])
             await wait_until(lambda: first.process_group.listen_task and first.process_group.listen_task.done())
-            async with process(plain(peer), path) as (third, _):
+            async with ingress_process(plain(peer), path) as (third, _):
                 for link in list(first.process_group.links.links):  # type: ignore[union-attr]
                     assert link.transport is not None
                     link.transport.abort()
@@ -551,7 +551,7 @@
 
 def test_changes_good_and_bad_under_a_steady_flow_lose_nothing_and_leave_nothing(tmp_path: Path) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, program(peer, tmp_path) as (process, address):
+        async with fake_endpoint() as peer, running_program(peer, tmp_path) as (process, address):
             path = tmp_path / "config.json"
             good = json.loads(path.read_text(encoding="utf-8"))
             over, answers, asked = asyncio.Event(), list[Any](), 0
@@ -600,7 +600,7 @@
 
 def test_a_signal_in_a_drain_changes_nothing_for_those_that_are_served(tmp_path: Path) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, program(peer, tmp_path) as (process, address):
+        async with fake_endpoint() as peer, running_program(peer, tmp_path) as (process, address):
             caller = await RespClient.connect(address)
             assert await caller.request(command("one")) == b"one"
             process.send_signal(signal.SIGTERM)
@@ -619,7 +619,7 @@
             address, path = ("127.0.0.1", free_port()), tmp_path / "config.json"
             text = config_text(endpoint_entry(peer.address), listen=f"127.0.0.1:{address[1]}")
             path.write_text(text, encoding="utf-8")
-            process = await start(path)
+            process = await start_program(path)
             try:
                 status = Path(f"/proc/{process.pid}/status")
                 while not int(status.read_text().partition("SigCgt:")[2].split()[0], 16) & 1:
@@ -643,7 +643,11 @@
 
 def test_a_silent_discovery_and_a_silent_counter_leave_the_list_in_use() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, fake_endpoint(b"") as silent, serving(plain(peer)) as (served, address):
+        async with (
+            fake_endpoint() as peer,
+            fake_endpoint(b"") as silent,
+            running_ingress(plain(peer)) as (served, address),
+        ):
             caller = await RespClient.connect(address)
             at = f"127.0.0.1:{silent.address[1]}"
             told = SETTINGS | {"family-info": {"counter": True, "count-wait-s": 0.1}}
@@ -658,7 +662,7 @@
 
 def test_a_revert_is_answered_in_time_while_another_change_does_not_end() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             assert not await served.changes.change(like(served, settings=with_plan(refill=7.0)), "reload")
             async with served.changes.agreement.lock:
                 assert await said(served, b"revert") == f"fail {UNDER_WAY}"
@@ -672,11 +676,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(plain(peer)) as (served, _):
+        async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             path, reload = tmp_path / "config.json", asyncio.Event()
             path.write_text(
                 json.dumps(
-                    dict(like(served, settings=with_plan(refill=7.0)).document) | {"seed": "1", "control": SECOND}
+                    dict(like(served, settings=with_plan(refill=7.0)).document) | {"seed": "1", "control": ADMIN_LISTEN}
                 ),
                 encoding="utf-8",
             )
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -23,7 +23,7 @@
     run_async,
     wait_until,
 )
-from tests.test_net_ingress import Stub, send, serving
+from tests.test_net_ingress import StubGateway, running_ingress, start_attempts
 
 ANSWER_BYTES = 60_000
 
@@ -64,7 +64,7 @@
             writer.write(endpoint_answer(b"x" * ANSWER_BYTES))
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address, 4096)  # Most of the answer waits in the buffers of the kernel.
             client.send(command("first"))
             await wait_until(lambda: commands)
@@ -87,7 +87,7 @@
 
 def test_a_request_between_the_last_idle_check_and_the_close_is_not_forwarded_and_causes_no_reset() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(command("first"))
             await wait_until(lambda: peer.commands and not served.requests.in_flight)
@@ -105,7 +105,7 @@
 
 def test_a_connection_with_an_unread_request_is_not_idle() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(command("first"))
             await wait_until(lambda: peer.commands and not served.requests.in_flight)
@@ -124,7 +124,7 @@
     monkeypatch.setattr(lingering_connection, "LINGER_TIMEOUT", 0.1)
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(command("first"))
             await wait_until(lambda: peer.commands and not served.requests.in_flight)
@@ -139,7 +139,7 @@
 
 def test_a_flood_after_the_close_is_read_only_up_to_a_limit() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(b"nonsense\r\n")
             await wait_until(lambda: served.clients.malformed_count)
@@ -164,8 +164,8 @@
             writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            served.runner.gateway = Stub(send)  # type: ignore[assignment]
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
             client = await RespClient.connect(address)
             client.writer.write(command("first"))
             await wait_until(lambda: served.requests.attempts_in_flight)
@@ -183,7 +183,7 @@
     """When a connection is closed in the middle of a value, the later commands on it get no response."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             client = await connect(address)
             client.send(b"*1\r\n$4\r\nPING\r\n")
             assert await asyncio.get_running_loop().sock_recv(client, 100) == b"+PONG\r\n"
@@ -203,7 +203,7 @@
 
 def test_connections_that_were_busy_at_the_limit_are_closed_once_they_are_idle() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(8)
             busy = [await connect(address) for _ in range(8)]
             for client in busy:
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -48,7 +48,7 @@
     wait_until,
 )
 from tests.test_net_backends import PoolUnderTest
-from tests.test_net_ingress import Stub, serving
+from tests.test_net_ingress import StubGateway, running_ingress
 
 PING = resp(b"PING")
 
@@ -93,7 +93,7 @@
 
 def test_flood_from_one_address_leaves_connections_for_other_addresses() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(60)
             served.clients.shares.guaranteed = 20
             others = [await from_address(f"127.0.1.{n}", address) for n in range(1, 6)]
@@ -114,10 +114,10 @@
 
 def test_address_over_its_share_loses_its_own_idle_connection_or_gets_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with running_ingress(config()) as (served, address):
             served.clients.resize(20)
             served.clients.shares.guaranteed = 8
-            served.gateway.handle = Stub(lambda event: []).handle  # type: ignore[method-assign]
+            served.gateway.handle = StubGateway(lambda event: []).handle  # type: ignore[method-assign]
             first = await from_address("127.0.3.1", address)
             assert await first.request(PING) == b"PONG"
             busy = [await from_address("127.0.0.1", address) for _ in range(10)]
@@ -138,7 +138,7 @@
 
 def test_single_address_may_use_all_connections() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(40)
             served.clients.shares.guaranteed = 10
             callers = [await from_address("127.0.0.1", address) for _ in range(38)]
@@ -153,7 +153,7 @@
 
 def test_surge_of_connections_is_accepted_in_batches_between_requests() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(400)
             steady = await RespClient.connect(address)
             assert await steady.request(command()) == b"00000000000000aa"
@@ -221,7 +221,7 @@
     async def body() -> None:
         few, many = ({"cores": 1.0, "memory_mb": 192, "sockets": sockets} for sockets in (256, 4096))
         before = config(limits=few if reloaded else many)
-        async with serving(before) as (served, address):
+        async with running_ingress(before) as (served, address):
             if reloaded:
                 after = with_shared_document(before, dict(before.document) | {"limits": many})
                 assert not await served.changes.change(after, "reload")
@@ -277,7 +277,7 @@
     monkeypatch.setattr("ingress.configuration.document.usable_sockets", lambda sockets: sockets)
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             steady = await RespClient.connect(address)
             assert await steady.request(command()) == b"00000000000000aa"
             # Clients in another process use up all descriptors that this one may open.
@@ -447,7 +447,7 @@
 
 def test_client_connections_enable_keepalive() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await RespClient.connect(address)
             assert await caller.request(PING) == b"PONG"
             [client] = served.clients.connections
@@ -476,7 +476,7 @@
             await reader.read()
 
         monkeypatch.setattr(sockets.enable_keepalive, "__defaults__", (0.3,))
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await RespClient.connect(address)
             caller.writer.write(command(d=10_000))
             await wait_until(lambda: served.requests.in_flight)
@@ -497,7 +497,7 @@
     async def body() -> None:
         async with (
             fake_endpoint(endpoint_answer(bytes(60_000))) as peer,
-            serving(config(endpoint_entry(peer.address))) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
             asks = command(d=10_000) * 60
             child = subprocess.Popen(
@@ -542,7 +542,10 @@
     """
 
     async def body() -> None:
-        async with fake_endpoint(b"") as silent, serving(config(endpoint_entry(silent.address))) as (served, address):
+        async with (
+            fake_endpoint(b"") as silent,
+            running_ingress(config(endpoint_entry(silent.address))) as (served, address),
+        ):
             for fresh in (False, True):  # on an accepted connection, and on one in the backlog
                 sock = socket.create_connection(address)
                 caller = RespClient(*await asyncio.open_connection(sock=sock)) if not fresh else None
--- a/tests/test_net_control.py
+++ b/tests/test_net_control.py
@@ -25,9 +25,9 @@
     run_async,
     wait_until,
 )
-from tests.test_net_ingress import serving
+from tests.test_net_ingress import running_ingress
 
-SECOND = "127.0.0.1:0"
+ADMIN_LISTEN = "127.0.0.1:0"
 
 
 def admin_address(served: Ingress) -> Address:
@@ -37,7 +37,7 @@
     return address
 
 
-async def call(served: Ingress, line: bytes) -> str:
+async def admin_call(served: Ingress, line: bytes) -> str:
     """Send one line to the admin server and return its answer."""
     reader, writer = await asyncio.open_connection(*admin_address(served))
     writer.write(line + b"\n")
@@ -59,8 +59,8 @@
 )
 def test_each_command_gets_one_line_and_the_connection_is_closed(line: bytes, answer: str) -> None:
     async def body() -> None:
-        async with serving(config(control=SECOND)) as (served, _):
-            assert await call(served, line) == answer + "\n"
+        async with running_ingress(config(control=ADMIN_LISTEN)) as (served, _):
+            assert await admin_call(served, line) == answer + "\n"
 
     run_async(body())
 
@@ -69,7 +69,7 @@
     """The input arrives as the connection is closed; closing over unread input would reset the connection."""
 
     async def body() -> None:
-        async with serving(config(control=SECOND)) as (served, _):
+        async with running_ingress(config(control=ADMIN_LISTEN)) as (served, _):
             loop = asyncio.get_running_loop()
             sock = socket.create_connection(admin_address(served))
             sock.setblocking(False)
@@ -89,7 +89,7 @@
 
 def test_without_an_admin_address_there_is_no_admin_server() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, _):
+        async with running_ingress(config()) as (served, _):
             assert served.admin_server is None
 
     run_async(body())
@@ -105,11 +105,11 @@
     monkeypatch.setattr(admin_server, "MAX_CONNECTIONS", 4)
 
     async def body() -> None:
-        async with serving(config(control=SECOND)) as (served, _):
+        async with running_ingress(config(control=ADMIN_LISTEN)) as (served, _):
             silent = [await asyncio.open_connection(*admin_address(served)) for _ in range(4)]
             silent[0][1].write(b"rea")
             silent[3][1].write(b"rea")
-            assert await call(served, b"ready") == "ok\n"
+            assert await admin_call(served, b"ready") == "ok\n"
             assert await silent[0][0].read() == b""  # The oldest connection is closed for the new one.
             silent[3][1].write(b"dy\n")
             assert await silent[3][0].read() == b"ok\n"
@@ -122,7 +122,7 @@
     monkeypatch.setattr(admin_server, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
-        async with serving(config(control=SECOND)) as (served, _):
+        async with running_ingress(config(control=ADMIN_LISTEN)) as (served, _):
             reader, _writer = await asyncio.open_connection(*admin_address(served))
             assert await reader.read() == b""
 
@@ -142,16 +142,15 @@
     async def body() -> None:
         async with (
             Peer(script) as peer,
-            serving(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"), control=SECOND)) as (
-                served,
-                address,
-            ),
+            running_ingress(
+                config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"), control=ADMIN_LISTEN)
+            ) as (served, address),
         ):
             slow = await RespClient.connect(address)
             idle = await RespClient.connect(address)
             slow.writer.write(command("slow"))
             assert await idle.request(command("before")) == b"before"
-            assert await call(served, b"drain") == "ok\n"
+            assert await admin_call(served, b"drain") == "ok\n"
             assert str(await idle.request(resp(b"PING"))) == "ERR draining"
             assert await idle.request(command("after")) == b"after"  # Open connections are served during a drain.
             with pytest.raises(EOFError):
@@ -165,7 +164,7 @@
             with pytest.raises(EOFError):
                 await slow.read_answer()
             await wait_until(lambda: not served.clients.connections)
-            assert await call(served, b"resume") == "ok\n"
+            assert await admin_call(served, b"resume") == "ok\n"
             fresh = await RespClient.connect(address)
             assert await fresh.request(resp(b"PING")) == b"PONG"
             assert await fresh.request(command("fresh")) == b"fresh"
@@ -184,11 +183,14 @@
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address):
+        async with (
+            peer,
+            running_ingress(config(endpoint_entry(peer.address), control=ADMIN_LISTEN)) as (served, address),
+        ):
             caller = await RespClient.connect(address)
             caller.writer.write(command("one"))
             await wait_until(lambda: peer.commands)
-            await call(served, b"drain")
+            await admin_call(served, b"drain")
             await served.shutdown.clients_may_close.wait()
             caller.writer.write(command("two"))
             answer.set()
@@ -205,7 +207,7 @@
     async def body() -> None:
         async with (
             fake_endpoint() as peer,
-            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address), control=ADMIN_LISTEN)) as (served, address),
         ):
             first_half = command("half")[:30]
             second_half = command("half")[30:]
@@ -214,7 +216,7 @@
             for sock in (completing, hanging):
                 sock.sendall(first_half)
             await wait_until(lambda: sum(c.scanner.in_frame() for c in served.clients.connections) == 2)
-            await call(served, b"drain")
+            await admin_call(served, b"drain")
             await served.shutdown.clients_may_close.wait()
             completing.sendall(second_half)
             loop = asyncio.get_running_loop()
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -18,7 +18,7 @@
 import pytest
 
 from tests.peers import Address, Reader, RespClient, Writer, command, endpoint_entry, fake_endpoint, resp, run_async
-from tests.test_net_discovery import listing
+from tests.test_net_discovery import endpoint_list_json
 from tests.test_net_restart import free_port
 from tests.test_net_signals import Program, check_no_traceback, launched
 
@@ -85,7 +85,7 @@
                 _, is_watch, wait = head.partition(b"after=%d&wait_ms=" % LIST_VERSION)
                 if is_watch:  # The client has the list already.
                     await asyncio.sleep(int(wait.split()[0]) / 1000)
-                body = listing(LIST_VERSION, not is_watch, *[] if is_watch else self.entries)
+                body = endpoint_list_json(LIST_VERSION, not is_watch, *[] if is_watch else self.entries)
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
         writer.close()
 
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -28,7 +28,7 @@
 RELOAD_DEADLINE_S = 4.0  # a list must be applied within this time after a reload
 
 
-def listing(version: int, full: bool, *rows: dict[str, Any]) -> bytes:
+def endpoint_list_json(version: int, full: bool, *rows: dict[str, Any]) -> bytes:
     return json.dumps({"version": version, "full": full, "servers": rows}).encode()
 
 
@@ -84,10 +84,12 @@
 def test_complete_list_followed_by_changes() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            listing(41, True, endpoint_entry(HERE, started=0), endpoint_entry(HERE, "s2", started=1_700_000_000_500)),
-            listing(43, False, endpoint_entry(HERE, "s2", "draining")),
-            listing(44, False),
-            listing(50, True, endpoint_entry(HERE)),
+            endpoint_list_json(
+                41, True, endpoint_entry(HERE, started=0), endpoint_entry(HERE, "s2", started=1_700_000_000_500)
+            ),
+            endpoint_list_json(43, False, endpoint_entry(HERE, "s2", "draining")),
+            endpoint_list_json(44, False),
+            endpoint_list_json(50, True, endpoint_entry(HERE)),
         )
         updates = await watch(service, 5)
         assert service.requests == ["/api/targets", WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
@@ -106,8 +108,8 @@
 def test_moved_service_is_asked_at_once_for_a_complete_list() -> None:
     async def body() -> None:
         updates: list[tuple[EndpointListKind, EndpointList]] = []
-        old = ScriptedDiscovery(listing(41, True, endpoint_entry(HERE)))
-        new = ScriptedDiscovery(listing(7, True, endpoint_entry(HERE, "s2")))
+        old = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(HERE)))
+        new = ScriptedDiscovery(endpoint_list_json(7, True, endpoint_entry(HERE, "s2")))
         async with old.peer, new.peer:
             discovery = DiscoveryClient(
                 old.peer.address,
@@ -135,9 +137,9 @@
 def test_restarted_versions_cause_a_request_for_a_complete_list() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            listing(41, True, endpoint_entry(HERE)),
-            listing(3, False, endpoint_entry(HERE, "s9")),
-            listing(3, True, endpoint_entry(HERE, "s9")),
+            endpoint_list_json(41, True, endpoint_entry(HERE)),
+            endpoint_list_json(3, False, endpoint_entry(HERE, "s9")),
+            endpoint_list_json(3, True, endpoint_entry(HERE, "s9")),
         )
         updates = await watch(service, 4)
         assert service.requests == ["/api/targets", WATCH % 41, "/api/targets", WATCH % 3]
@@ -153,7 +155,10 @@
 def test_list_is_kept_and_the_service_polled_again_after_a_malformed_response(broken: bytes) -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            listing(41, True, endpoint_entry(HERE)), broken, broken, listing(42, True, endpoint_entry(HERE))
+            endpoint_list_json(41, True, endpoint_entry(HERE)),
+            broken,
+            broken,
+            endpoint_list_json(42, True, endpoint_entry(HERE)),
         )
         updates = await watch(service, 5)
         assert service.requests[:2] == ["/api/targets", WATCH % 41] and service.requests[-1] == WATCH % 42
@@ -167,7 +172,10 @@
 def test_known_list_is_updated_with_the_changes_since_its_version() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            listing(43, False, endpoint_entry(HERE)), b"", b"", listing(44, False, endpoint_entry(HERE))
+            endpoint_list_json(43, False, endpoint_entry(HERE)),
+            b"",
+            b"",
+            endpoint_list_json(44, False, endpoint_entry(HERE)),
         )
         updates = await watch(service, 5, version=41)
         # A closed connection does not invalidate the version.
@@ -182,7 +190,7 @@
 
 def test_version_zero_is_watched_like_any_other() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(1, False, endpoint_entry(HERE)))
+        service = ScriptedDiscovery(endpoint_list_json(1, False, endpoint_entry(HERE)))
         await watch(service, 2, version=0)
         assert service.requests == [WATCH % 0, WATCH % 1]
 
@@ -356,7 +364,10 @@
 
     async def body() -> None:
         service = ScriptedDiscovery(
-            None, listing(1, True, endpoint_entry(HERE)), None, listing(2, True, endpoint_entry(HERE))
+            None,
+            endpoint_list_json(1, True, endpoint_entry(HERE)),
+            None,
+            endpoint_list_json(2, True, endpoint_entry(HERE)),
         )
         updates = await watch(service, 5)
         assert [endpoint_list.version for _, endpoint_list in updates] == [1, 2]
@@ -366,7 +377,9 @@
 
 def test_failing_update_handler_does_not_end_the_watch() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(1, True, endpoint_entry(HERE)), listing(2, True, endpoint_entry(HERE)))
+        service = ScriptedDiscovery(
+            endpoint_list_json(1, True, endpoint_entry(HERE)), endpoint_list_json(2, True, endpoint_entry(HERE))
+        )
 
         def on_update(kind: EndpointListKind, endpoint_list: EndpointList) -> None:
             raise RuntimeError("failure of the handler")
@@ -429,7 +442,7 @@
     """
 
     def __init__(self, *failures: tuple[bytes, str]) -> None:
-        self.failures = [(sized(listing(41, True, endpoint_entry(HERE))), "on"), *failures]
+        self.failures = [(sized(endpoint_list_json(41, True, endpoint_entry(HERE))), "on"), *failures]
         self.reachable_since = 0.0
         self.answered = 0
         self.peer = Peer(self.script)
@@ -451,7 +464,11 @@
                     return
             else:
                 is_watch = b"after=" in head
-                writer.write(sized(listing(42, False, DRAINING) if is_watch else listing(42, True, DRAINING)))
+                writer.write(
+                    sized(
+                        endpoint_list_json(42, False, DRAINING) if is_watch else endpoint_list_json(42, True, DRAINING)
+                    )
+                )
                 await asyncio.sleep(100.0)  # no further change
 
 
@@ -462,9 +479,9 @@
     writer.transport.abort()
 
 
-TRUNCATED = http(listing(42, True, endpoint_entry(HERE))[:-30], b"Content-Length: 9999")
+TRUNCATED = http(endpoint_list_json(42, True, endpoint_entry(HERE))[:-30], b"Content-Length: 9999")
 WITHOUT_LENGTH = http(
-    listing(42, True, endpoint_entry(HERE, "s9"))[:-20]
+    endpoint_list_json(42, True, endpoint_entry(HERE, "s9"))[:-20]
 )  # without a length the body ends with the connection
 
 
@@ -516,7 +533,7 @@
     """The list must be applied within 4 s after the reload."""
 
     async def body() -> None:
-        old = ScriptedDiscovery(listing(41, True, endpoint_entry(HERE)))
+        old = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(HERE)))
         new = FailingDiscovery(failure)
         updates: list[tuple[float, int]] = []
         new.failures.pop(0)
@@ -543,8 +560,8 @@
 
 def test_duplicate_response_is_read_once() -> None:
     async def body() -> None:
-        first = sized(listing(41, True, endpoint_entry(HERE)))
-        service = FailingDiscovery((sized(listing(41, False)) * 2, "on"))
+        first = sized(endpoint_list_json(41, True, endpoint_entry(HERE)))
+        service = FailingDiscovery((sized(endpoint_list_json(41, False)) * 2, "on"))
         updates: list[int] = []
         service.failures[0] = first * 2, "on"
         async with service.peer:
@@ -567,7 +584,7 @@
 
 def test_wait_of_a_watch_shrinks_again_after_overload() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(listing(41, True, endpoint_entry(HERE)))
+        service = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(HERE)))
         discovery = make_client(random.Random(1))
         async with service.peer:
             connection = HttpConnection(service.peer.address)
--- a/tests/test_net_figures.py
+++ b/tests/test_net_figures.py
@@ -22,13 +22,13 @@
     run_async,
     wait_until,
 )
-from tests.test_net_control import SECOND, call
-from tests.test_net_ingress import Stub, send, serving
+from tests.test_net_control import ADMIN_LISTEN, admin_call
+from tests.test_net_ingress import StubGateway, running_ingress, start_attempts
 
 
 async def read_metrics(served: Ingress) -> dict[str, int]:
     """Return the metrics in the answer to `show-stat`, after a check of their types."""
-    lines = (await call(served, b"show-stat")).splitlines()
+    lines = (await admin_call(served, b"show-stat")).splitlines()
     assert lines.pop() == "eof"
     values = {}
     for line in lines:
@@ -55,14 +55,14 @@
                 return [FailRequest(event.request_id)]
             case RequestReceived(request_id="4"):
                 return []  # The request reaches its deadline.
-        return send(event)
+        return start_attempts(event)
 
     async def body() -> None:
         async with (
             Peer(script) as peer,
-            serving(config(endpoint_entry(peer.address), control=SECOND)) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address), control=ADMIN_LISTEN)) as (served, address),
         ):
-            served.gateway.handle = Stub(plan).handle  # type: ignore[method-assign]
+            served.gateway.handle = StubGateway(plan).handle  # type: ignore[method-assign]
             caller = await RespClient.connect(address)
             for name in ("served", "refused", "failed", "expired"):
                 await caller.request(command(name, d=100 if name == "expired" else 2000))
@@ -110,10 +110,9 @@
     async def body() -> None:
         async with (
             fake_endpoint() as peer,
-            serving(config(endpoint_entry(peer.address), endpoint_entry(("127.0.0.1", 1), "s2"), control=SECOND)) as (
-                served,
-                address,
-            ),
+            running_ingress(
+                config(endpoint_entry(peer.address), endpoint_entry(("127.0.0.1", 1), "s2"), control=ADMIN_LISTEN)
+            ) as (served, address),
         ):
             caller = await RespClient.connect(address)
             async with asyncio.timeout(10):
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -33,7 +33,7 @@
     run_async,
     wait_until,
 )
-from tests.test_net_ingress import Stub, send, serving
+from tests.test_net_ingress import StubGateway, running_ingress, start_attempts
 
 
 class GatedLoop:
@@ -93,7 +93,7 @@
     disconnect: Callable[[socket.socket], None], count: int
 ) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             gate = gate_connects(served)
             client = socket.create_connection(address)
             client.sendall(b"".join(command(f"r{n}") for n in range(count)))
@@ -129,7 +129,10 @@
         async with (
             Peer(script) as one,
             Peer(script) as two,
-            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"))) as (served, address),
+            running_ingress(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"))) as (
+                served,
+                address,
+            ),
         ):
             client = socket.create_connection(address)
             client.sendall(b"".join(command(f"r{n}") for n in range(count + 1)))
@@ -146,7 +149,7 @@
 
 def test_a_request_that_arrives_together_with_the_close_of_its_connection_is_not_forwarded() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             await warm(served, address)
             client = socket.create_connection(address)
             await wait_until(lambda: [c for c in served.clients.connections if c.transport])
@@ -193,10 +196,9 @@
         async with (
             Peer(script) as one,
             Peer(script) as two,
-            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=settings)) as (
-                served,
-                address,
-            ),
+            running_ingress(
+                config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=settings)
+            ) as (served, address),
         ):
             await warm(served, address, 2)
             for server in served.gateway.cluster.endpoints.by_id.values():
@@ -234,17 +236,16 @@
         both = len(stub.of(RequestReceived)) > 1
         return [StartAttempt(event.request_id, "s1"), *([StartAttempt(event.request_id, "s2")] if both else [])]
 
-    stub = Stub(start_two_attempts)
+    stub = StubGateway(start_two_attempts)
 
     async def body() -> None:
         settings = SETTINGS | {"limits": SETTINGS["limits"] | {"second-copies": True, "cancel": False}}
         async with (
             fake_endpoint() as one,
             fake_endpoint() as two,
-            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=settings)) as (
-                served,
-                address,
-            ),
+            running_ingress(
+                config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=settings)
+            ) as (served, address),
         ):
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
@@ -282,7 +283,7 @@
         ended.set()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             peer.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             await warm(served, address)
             [connection] = served.pool.endpoints["s1"].idle_connections
@@ -310,10 +311,10 @@
                 return [FailRequest(key)]
         return []
 
-    stub = Stub(plan)
+    stub = StubGateway(plan)
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = stub  # type: ignore[assignment]
             gate = gate_connects(served)
             caller = await RespClient.connect(address)
@@ -331,8 +332,8 @@
     """The check for a disconnect must not mistake pipelined requests or unread bytes for one."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            served.runner.gateway = Stub(send)  # type: ignore[assignment]
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(b"".join(command(f"r{n}") for n in range(3 * client_connection.MAX_PIPELINED)))
             for n in range(3 * client_connection.MAX_PIPELINED):
--- a/tests/test_net_handover.py
+++ b/tests/test_net_handover.py
@@ -30,14 +30,14 @@
     run_async,
     wait_until,
 )
-from tests.test_net_control import SECOND, call
+from tests.test_net_control import ADMIN_LISTEN, admin_call
 
 CUSTOMER_7 = f"{7:016x}"  # the customer whose id the commands contain
 SMALL_BURST_SETTINGS = SETTINGS | {"contracts": [{"name": "basic", "refill": 0.001, "burst": 4.0}]}
 
 
 @asynccontextmanager
-async def process(settings: Config, path: Path) -> AsyncIterator[tuple[Ingress, asyncio.Event]]:
+async def ingress_process(settings: Config, path: Path) -> AsyncIterator[tuple[Ingress, asyncio.Event]]:
     """Run an ingress process, from takeover to shutdown, within this test process."""
     received_handover = await asyncio.to_thread(take_over, path)
     ingress = Ingress(settings, received_handover=received_handover, path=path)
@@ -66,20 +66,20 @@
 
 
 def ingress_config(peer: Any, **changes: Any) -> Config:
-    return config(*(endpoint_entry(peer.address, f"s{n}") for n in range(8)), control=SECOND, **changes)
+    return config(*(endpoint_entry(peer.address, f"s{n}") for n in range(8)), control=ADMIN_LISTEN, **changes)
 
 
 def test_the_second_process_accepts_new_connections_and_the_first_ends(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, stop):
+        async with fake_endpoint() as peer, ingress_process(ingress_config(peer), path) as (first, stop):
             address = listen_address(first)
             kept = await RespClient.connect(address)
             assert await kept.request(command("kept")) == b"kept"
-            async with process(ingress_config(peer), path) as (second, _):
+            async with ingress_process(ingress_config(peer), path) as (second, _):
                 await wait_until(lambda: first.process_group.successor)
                 assert listen_address(second) == address
-                assert await call(second, b"ready") == "ok\n"
+                assert await admin_call(second, b"ready") == "ok\n"
                 fresh = await RespClient.connect(address)
                 assert await fresh.request(command("fresh")) == b"fresh"
                 assert second.requests.received_count == 1
@@ -100,11 +100,11 @@
         path = tmp_path / "there"
         async with (
             fake_endpoint() as peer,
-            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+            ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
         ):
             kept = await RespClient.connect(listen_address(first))
             assert await kept.request(command("1")) == b"1"
-            async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
+            async with ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
                 await wait_until(lambda: first.process_group.successor)
                 fresh = await RespClient.connect(listen_address(second))
                 assert await fresh.request(command("2")) == b"2"
@@ -122,12 +122,12 @@
 def test_the_second_process_inherits_the_health_of_endpoints(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, ingress_process(ingress_config(peer), path) as (first, _):
             outliers = first.gateway.cluster.outliers
             health = first.gateway.cluster.endpoints.by_id["s3"].health
             while not outliers.ejected_count:
                 outliers.record_failure(health, first.clock(), Outcome.ERROR)
-            async with process(ingress_config(peer), path) as (second, _):
+            async with ingress_process(ingress_config(peer), path) as (second, _):
                 inherited = second.gateway.cluster.endpoints.by_id["s3"].health
                 assert inherited.snapshot() == health.snapshot()
                 assert second.gateway.health()["health.ejected"] == 1
@@ -139,9 +139,9 @@
 def test_the_first_process_accepts_again_when_the_second_ends(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, ingress_process(ingress_config(peer), path) as (first, _):
             address = listen_address(first)
-            async with process(ingress_config(peer), path):
+            async with ingress_process(ingress_config(peer), path):
                 await wait_until(lambda: first.process_group.successor)
             await wait_until(lambda: not first.process_group.successor)
             caller = await RespClient.connect(address)
@@ -154,16 +154,16 @@
 def test_after_failed_upgrades_the_next_process_takes_over_from_the_first(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, ingress_process(ingress_config(peer), path) as (first, _):
             for _ in range(2):
-                async with process(ingress_config(peer), path):
+                async with ingress_process(ingress_config(peer), path):
                     await wait_until(lambda: first.process_group.successor is not None)
                 await wait_until(
                     lambda: first.process_group.successor is None
                     and first.process_group.listen_task
                     and first.process_group.listen_task.done()
                 )
-            async with process(ingress_config(peer), path) as (last, _):
+            async with ingress_process(ingress_config(peer), path) as (last, _):
                 assert last.received_handover is not None and listen_address(last) == listen_address(first)
                 caller = await RespClient.connect(listen_address(last))
                 assert await caller.request(command()) == b"00000000000000aa"
@@ -176,12 +176,12 @@
         path = tmp_path / "there"
         async with (
             fake_endpoint() as peer,
-            process(ingress_config(peer), path) as (first, stop),
-            process(ingress_config(peer), path) as (second, stop_second),
+            ingress_process(ingress_config(peer), path) as (first, stop),
+            ingress_process(ingress_config(peer), path) as (second, stop_second),
         ):
             await wait_until(lambda: first.process_group.successor)
             stop.set()
-            async with process(ingress_config(peer), path) as (third, _):
+            async with ingress_process(ingress_config(peer), path) as (third, _):
                 await wait_until(lambda: second.process_group.successor)
                 stop_second.set()
                 caller = await RespClient.connect(listen_address(third))
@@ -195,13 +195,13 @@
 def test_a_drain_continues_in_the_second_process_and_can_be_ended_at_either(tmp_path: Path, resumed_index: int) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
-            assert await call(first, b"drain") == "ok\n"
-            async with process(ingress_config(peer), path) as (second, _):
+        async with fake_endpoint() as peer, ingress_process(ingress_config(peer), path) as (first, _):
+            assert await admin_call(first, b"drain") == "ok\n"
+            async with ingress_process(ingress_config(peer), path) as (second, _):
                 await wait_until(lambda: first.process_group.successor)
-                assert await call(second, b"ready") == "ok\n"
+                assert await admin_call(second, b"ready") == "ok\n"
                 assert not second.clients.is_ready
-                assert await call([first, second][resumed_index], b"resume") == "ok\n"
+                assert await admin_call([first, second][resumed_index], b"resume") == "ok\n"
                 await wait_until(lambda: first.clients.is_ready and second.clients.is_ready)
                 caller = await RespClient.connect(listen_address(second))
                 assert await caller.request(resp(b"PING")) == b"PONG"
@@ -212,10 +212,10 @@
 def test_the_connection_limits_of_both_processes_stay_within_the_total(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, ingress_process(ingress_config(peer), path) as (first, _):
             kept = [await RespClient.connect(listen_address(first)) for _ in range(5)]
             await wait_until(lambda: len(first.clients.connections) == 5)
-            async with process(ingress_config(peer), path) as (second, _):
+            async with ingress_process(ingress_config(peer), path) as (second, _):
                 total, spare = (
                     second.config.max_client_connections,
                     second.config.max_client_connections // SPARE_DIVISOR + 1,
@@ -245,8 +245,8 @@
             short.rename(path)
         async with (
             fake_endpoint() as peer,
-            process(ingress_config(peer), path) as (first, _),
-            process(ingress_config(peer), path) as (second, _),
+            ingress_process(ingress_config(peer), path) as (first, _),
+            ingress_process(ingress_config(peer), path) as (second, _),
         ):
             await wait_until(lambda: first.process_group.successor)
             assert listen_address(first) == listen_address(second)
@@ -271,7 +271,7 @@
 def test_malformed_messages_from_another_process_are_ignored(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
-        async with fake_endpoint() as peer, process(ingress_config(peer), path) as (first, _):
+        async with fake_endpoint() as peer, ingress_process(ingress_config(peer), path) as (first, _):
             reader, writer = await asyncio.open_unix_connection(str(path))
             writer.write(b'{"spent": [1]}\nnonsense\n[]\n')
             writer.write(b'{"spent": ["c", "basic", 1, 3.0, true, 1, "", 0.0]}\n')
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -37,9 +37,9 @@
     wait_until,
 )
 from tests.test_net_backends import PoolUnderTest
-from tests.test_net_control import SECOND
+from tests.test_net_control import ADMIN_LISTEN
 from tests.test_net_figures import read_metrics
-from tests.test_net_ingress import Stub, serving
+from tests.test_net_ingress import StubGateway, running_ingress
 
 PROBING = SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}, "prices": {"probe": 0.01}}
 
@@ -59,8 +59,8 @@
 )
 def test_outcome_of_each_kind_of_health_check_reply(answer: bytes, outcome: Outcome) -> None:
     async def body() -> None:
-        async with fake_endpoint(answer) as peer, serving(config(endpoint_entry(peer.address))) as (served, _):
-            stub = Stub(lambda event: [StartHealthCheck("s1", 0.2)] if isinstance(event, TimerFired) else [])
+        async with fake_endpoint(answer) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, _):
+            stub = StubGateway(lambda event: [StartHealthCheck("s1", 0.2)] if isinstance(event, TimerFired) else [])
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             served.feed(TimerFired(9))
             await wait_until(lambda: stub.of(HealthCheckEnded))
@@ -75,8 +75,8 @@
 
 def test_health_check_of_an_unreachable_or_removed_endpoint_fails_to_connect() -> None:
     async def body() -> None:
-        async with serving(config(endpoint_entry(("127.0.0.1", 1)))) as (served, _):
-            stub = Stub(
+        async with running_ingress(config(endpoint_entry(("127.0.0.1", 1)))) as (served, _):
+            stub = StubGateway(
                 lambda event: [StartHealthCheck("s1", 0.2), StartHealthCheck("gone", 0.2)]
                 if isinstance(event, TimerFired)
                 else []
@@ -109,7 +109,7 @@
             entries = [endpoint_entry(peer.address, f"s{n}") for n in range(3)] + [
                 endpoint_entry(failing.address, "bad")
             ]
-            async with serving(config(*entries, control=SECOND, settings=PROBING)) as (served, address):
+            async with running_ingress(config(*entries, control=ADMIN_LISTEN, settings=PROBING)) as (served, address):
                 caller = await RespClient.connect(address)
                 health = served.gateway.cluster.endpoints.by_id["bad"].health
                 is_failing.set()
@@ -178,8 +178,8 @@
 
 def test_gateway_receives_the_local_failure_flag() -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            stub = Stub(lambda e: [StartAttempt(e.request_id, "s1")] if isinstance(e, RequestReceived) else [])
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            stub = StubGateway(lambda e: [StartAttempt(e.request_id, "s1")] if isinstance(e, RequestReceived) else [])
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             served.pool.max_connections = 0
             caller = await RespClient.connect(address)
@@ -200,7 +200,7 @@
             writer.write(b"*1\r\n$%d\r\n%b\r\n" % (len(words[2]), words[2]) * 2)
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
             caller = await RespClient.connect(address)
             for number in range(20):
                 name = f"request-{number}"
@@ -262,8 +262,8 @@
 
 def test_locally_failed_health_check_is_not_reported() -> None:
     async def body() -> None:
-        async with serving(config(endpoint_entry(("127.0.0.1", 1)))) as (served, _):
-            stub = Stub(None)
+        async with running_ingress(config(endpoint_entry(("127.0.0.1", 1)))) as (served, _):
+            stub = StubGateway(None)
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             check = HealthCheck.create(served.health_checker, "s1", 0.0, 1.0)
             check.local_failure = True
--- a/tests/test_net_ingress.py
+++ b/tests/test_net_ingress.py
@@ -39,7 +39,7 @@
 
 
 @asynccontextmanager
-async def serving(settings: Config) -> AsyncIterator[tuple[Ingress, Any]]:
+async def running_ingress(settings: Config) -> AsyncIterator[tuple[Ingress, Any]]:
     """Run an ingress; yield it and the address on which it listens."""
     served = Ingress(settings)
     stop = asyncio.Event()
@@ -54,7 +54,7 @@
         served.pool.close()
 
 
-class Stub:
+class StubGateway:
     """A test double of the `Gateway`; `plan` returns the actions for an event."""
 
     def __init__(self, plan: Any) -> None:
@@ -73,14 +73,14 @@
         return [event for event in self.seen if isinstance(event, kind)]
 
 
-def send(event: Event, backend: str = "s1") -> list[Action]:
+def start_attempts(event: Event, backend: str = "s1") -> list[Action]:
     """Start one attempt for each request received."""
     return [StartAttempt(event.request_id, backend)] if isinstance(event, RequestReceived) else []
 
 
 def test_ping_select_and_client_are_answered() -> None:
     async def body() -> None:
-        async with serving(config()) as (_, address):
+        async with running_ingress(config()) as (_, address):
             caller = await RespClient.connect(address)
             caller.writer.write(resp(b"PING"))
             assert await caller.reader.readexactly(7) == b"+PONG\r\n"
@@ -100,7 +100,7 @@
         await reader.read()
 
     async def play() -> None:
-        async with peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+        async with peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
             caller = await RespClient.connect(address)
             assert await caller.request(command(cls="order", body=body)) == body
             [words] = peer.commands
@@ -122,8 +122,8 @@
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            served.runner.gateway = Stub(send)  # type: ignore[assignment]
+        async with peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
             assert [await caller.read_answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
@@ -157,7 +157,7 @@
     data: bytes, reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
-        async with serving(config()) as (_, address):
+        async with running_ingress(config()) as (_, address):
             caller = await RespClient.connect(address)
             answer = await caller.request(data)
             assert isinstance(answer, hiredis.ReplyError)
@@ -190,7 +190,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             ingresses.append(served)
             caller = await RespClient.connect(address)
             caller.writer.write(command() + data)
@@ -204,7 +204,7 @@
 
 def test_a_frame_that_declares_a_billion_elements_does_not_stall_the_event_loop() -> None:
     async def body() -> None:
-        async with serving(config()) as (_, address):
+        async with running_ingress(config()) as (_, address):
             caller = await RespClient.connect(address)
             assert "too many words" in str(await caller.request(b"*1000000000\r\n"))
             with pytest.raises((EOFError, ConnectionError)):
@@ -226,7 +226,7 @@
 )
 def test_too_many_declared_elements_are_rejected_wherever_they_occur(pieces: list[bytes]) -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with running_ingress(config()) as (served, address):
             caller = await RespClient.connect(address)
             await wait_until(lambda: served.clients.connections)
             [client] = served.clients.connections
@@ -258,7 +258,7 @@
 )
 def test_a_client_that_never_completes_a_command_is_disconnected(pieces: list[bytes], times_out: bool) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await RespClient.connect(address)
             await wait_until(lambda: [c for c in served.clients.connections if c.transport])
             [client] = served.clients.connections
@@ -281,7 +281,7 @@
 
 def test_the_timeout_of_the_first_command_starts_with_the_connection() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with running_ingress(config()) as (served, address):
             await RespClient.connect(address)
             await wait_until(lambda: [c for c in served.clients.connections if c.transport])
             [client] = served.clients.connections
@@ -299,7 +299,7 @@
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
-        async with serving(config()) as (_, address):
+        async with running_ingress(config()) as (_, address):
             caller = await RespClient.connect(address)
             with pytest.raises(EOFError):
                 await caller.read_answer()
@@ -309,7 +309,7 @@
 
 def test_a_client_that_sends_only_unknown_commands_is_disconnected() -> None:
     async def body() -> None:
-        async with serving(config()) as (_, address):
+        async with running_ingress(config()) as (_, address):
             caller = await RespClient.connect(address)
             caller.writer.write(resp(b"NONSENSE") * 200)
             answers = []
@@ -323,8 +323,11 @@
 
 def test_the_gateway_is_notified_of_a_client_that_disconnects() -> None:
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            stub = Stub(send)
+        async with (
+            fake_endpoint(b"") as peer,
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
+        ):
+            stub = StubGateway(start_attempts)
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(command())
@@ -339,8 +342,11 @@
 @pytest.mark.parametrize("sent", [True, False])
 def test_a_final_answer_is_sent_in_time_whatever_the_gateway_and_the_endpoint_do(sent: bool) -> None:
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            stub = Stub(send if sent else None)
+        async with (
+            fake_endpoint(b"") as peer,
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
+        ):
+            stub = StubGateway(start_attempts if sent else None)
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             clock = asyncio.get_running_loop().time
@@ -359,7 +365,10 @@
     """The endpoint is silent: the attempt times out first, and the gateway gives the final answer."""
 
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with (
+            fake_endpoint(b"") as peer,
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
+        ):
             caller = await RespClient.connect(address)
             assert isinstance(await caller.request(command(d=500)), hiredis.ReplyError)
             assert not served.requests.in_flight and not served.gateway.requests
@@ -372,7 +381,7 @@
     d: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+        async with fake_endpoint(b"") as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
             caller = await RespClient.connect(address)
             assert isinstance(await caller.request(command(d=d)), hiredis.ReplyError)
 
@@ -382,9 +391,9 @@
 
 def test_a_busy_answer_carries_the_retry_delay() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with running_ingress(config()) as (served, address):
             retry_after = {"1": 0.0, "2": 1.2501}
-            served.runner.gateway = Stub(lambda e: [RejectRequest(e.request_id, retry_after[e.request_id])])  # type: ignore[assignment]
+            served.runner.gateway = StubGateway(lambda e: [RejectRequest(e.request_id, retry_after[e.request_id])])  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             assert str(await caller.request(command())) == "BUSY"
             assert str(await caller.request(command())) == "BUSY 1251"
@@ -394,8 +403,8 @@
 
 def test_a_second_final_answer_is_dropped() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.runner.gateway = Stub(lambda e: [FailRequest(e.request_id), RejectRequest(e.request_id)])  # type: ignore[assignment]
+        async with running_ingress(config()) as (served, address):
+            served.runner.gateway = StubGateway(lambda e: [FailRequest(e.request_id), RejectRequest(e.request_id)])  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             assert str(await caller.request(command())) == "ERR failed"
             assert await caller.request(resp(b"PING")) == b"PONG"
@@ -407,15 +416,15 @@
     """The actions that were decided before the fault are performed, above all the next timer."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
 
             def plan(event: Event) -> list[Action]:
                 if isinstance(event, RequestReceived) and event.customer.endswith("9"):
                     stub.actions.append(SetTimer(0.0, 5))
                     raise RuntimeError("a fault")
-                return send(event)
+                return start_attempts(event)
 
-            stub = Stub(plan)
+            stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(command("one") + command("two", customer=9) + command("three"))
@@ -434,15 +443,18 @@
         async with (
             fake_endpoint(b"") as one,
             fake_endpoint() as two,
-            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"))) as (served, address),
+            running_ingress(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"))) as (
+                served,
+                address,
+            ),
         ):
 
             def plan(event: Event) -> list[Action]:
                 if isinstance(event, TimerFired):
                     return [StartAttempt("1", "s2")]
-                return [*send(event), SetTimer(0.1, 1)] if isinstance(event, RequestReceived) else []
+                return [*start_attempts(event), SetTimer(0.1, 1)] if isinstance(event, RequestReceived) else []
 
-            stub = Stub(plan)
+            stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             assert await caller.request(command("x")) == b"x"
@@ -458,23 +470,22 @@
         async with (
             fake_endpoint(b"") as one,
             fake_endpoint() as two,
-            serving(config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=allowed)) as (
-                served,
-                address,
-            ),
+            running_ingress(
+                config(endpoint_entry(one.address), endpoint_entry(two.address, "s2"), settings=allowed)
+            ) as (served, address),
         ):
 
             def plan(event: Event) -> list[Action]:
                 match event:
                     case RequestReceived():
-                        return [*send(event), SetTimer(0.05, 1)]
+                        return [*start_attempts(event), SetTimer(0.05, 1)]
                     case TimerFired():
                         return [StartAttempt("1", "s2")]
                     case AttemptEnded(outcome=Outcome.OK):
                         return [CancelAttempt("1", 0)]
                 return []
 
-            stub = Stub(plan)
+            stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             assert await caller.request(command("x")) == b"x"
@@ -489,14 +500,14 @@
     async def body() -> None:
         async with (
             fake_endpoint(b"-ERR failed\r\n") as peer,
-            serving(config(endpoint_entry(peer.address))) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
 
             def plan(event: Event) -> list[Action]:
                 again = isinstance(event, AttemptEnded) and not event.request_finished and event.attempt < 4
-                return [StartAttempt(event.request_id, "s1")] if again else send(event)  # type: ignore[union-attr]
+                return [StartAttempt(event.request_id, "s1")] if again else start_attempts(event)  # type: ignore[union-attr]
 
-            stub = Stub(plan)
+            stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             assert str(await caller.request(command(d=300))) == "ERR failed"
@@ -508,7 +519,10 @@
 
 def test_requests_in_flight_are_limited() -> None:
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with (
+            fake_endpoint(b"") as peer,
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
+        ):
             override_config(served, max_open_requests=1)
             caller = await RespClient.connect(address)
             other = await RespClient.connect(address)
@@ -525,14 +539,14 @@
     max_in_flight = 0
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
 
             def plan(event: Event) -> list[Action]:
                 nonlocal max_in_flight
                 max_in_flight = max(max_in_flight, len(served.requests.in_flight))
-                return send(event)
+                return start_attempts(event)
 
-            served.runner.gateway = Stub(plan)  # type: ignore[assignment]
+            served.runner.gateway = StubGateway(plan)  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(b"".join(command(str(n)) for n in range(50)))
             assert [await caller.read_answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
@@ -543,7 +557,7 @@
 
 def test_client_connections_are_limited_and_an_idle_one_is_closed_for_a_new_one() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with running_ingress(config()) as (served, address):
             served.clients.max_connections = 3  # Reaching the limit closes an idle connection.
             callers = [await RespClient.connect(address) for _ in range(2)]
             for caller in callers:
@@ -559,7 +573,7 @@
 
 def test_a_connection_accepted_as_the_listener_closes_is_served_and_then_closed() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with running_ingress(config()) as (served, address):
             idle = socket.create_connection(address)
             busy = socket.create_connection(address)
             busy.sendall(resp(b"PING"))
--- a/tests/test_net_long.py
+++ b/tests/test_net_long.py
@@ -32,7 +32,7 @@
     run_async,
     wait_until,
 )
-from tests.test_net_ingress import Stub, send, serving
+from tests.test_net_ingress import StubGateway, running_ingress, start_attempts
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
 HEAD = b"*3\r\n$%d\r\n" % len(LONG)
@@ -89,8 +89,8 @@
             writer.write(LONG[100:] + b"\r\n$-1\r\n$-1\r\n")
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            stub = Stub(send)
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            stub = StubGateway(start_attempts)
             served.runner.gateway = stub  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(command(d=300))
@@ -125,7 +125,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await slow_caller(served, address)
             caller.writer.write(command())
             [client] = served.clients.connections
@@ -158,8 +158,8 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            served.runner.gateway = Stub(send)  # type: ignore[assignment]
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(command("slow") + command("long"))
             await wait_until(
@@ -188,7 +188,10 @@
     async def body() -> None:
         async with (
             Peer(script) as peer,
-            serving(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"))) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"))) as (
+                served,
+                address,
+            ),
         ):
             caller = await RespClient.connect(address)
             caller.writer.write(command())
@@ -207,7 +210,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await RespClient.connect(address)
             caller.writer.write(command())
             await caller.reader.readexactly(100)
@@ -229,7 +232,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
             caller = await RespClient.connect(address)
             caller.writer.write(command())
             with pytest.raises(EOFError):
@@ -248,7 +251,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await slow_caller(served, address)
             caller.writer.write(command())
             await wait_until(lambda: served.requests.received_count and not served.clients.connections)
@@ -267,7 +270,7 @@
     async def body() -> None:
         settings = {**SETTINGS, "limits": {**SETTINGS["limits"], "second-copies": True, "cancel": True}}
         fleet = (endpoint_entry(peer.address, f"s{n}") for n in range(8))
-        async with peer, serving(config(*fleet, settings=settings)) as (served, address):
+        async with peer, running_ingress(config(*fleet, settings=settings)) as (served, address):
             caller = await RespClient.connect(address)
             assert await caller.request(command()) == LONG
             await wait_until(lambda: not served.requests.attempts_in_flight)
@@ -293,7 +296,7 @@
 
 def test_a_command_that_does_not_fit_the_memory_budget_is_refused() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with running_ingress(config()) as (served, address):
             served.budget.command_bytes = served.budget.capacity()
             caller = await RespClient.connect(address)
             assert str(await caller.request(command())).startswith("BUSY")
--- a/tests/test_net_members.py
+++ b/tests/test_net_members.py
@@ -30,7 +30,7 @@
     resp,
     wait_until,
 )
-from tests.test_net_handover import CUSTOMER_7, SMALL_BURST_SETTINGS, ingress_config, listen_address, process
+from tests.test_net_handover import CUSTOMER_7, SMALL_BURST_SETTINGS, ingress_config, ingress_process, listen_address
 from tests.test_net_restart import free_port
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -68,13 +68,13 @@
         self.started.append((child, control))
         while True:
             with contextlib.suppress(OSError):
-                if await ask(control, "ready") == "ok\n":
+                if await admin_call(control, "ready") == "ok\n":
                     return child, control
             assert child.returncode is None
             await asyncio.sleep(0.02)
 
 
-async def ask(control: Address, line: str) -> str:
+async def admin_call(control: Address, line: str) -> str:
     reader, writer = await asyncio.open_connection(*control)
     writer.write(line.encode() + b"\n")
     text = (await reader.read()).decode()
@@ -83,7 +83,7 @@
 
 
 async def members(control: Address) -> list[str]:
-    return [line for line in (await ask(control, "show-members")).split("\n") if line.startswith("member: ")]
+    return [line for line in (await admin_call(control, "show-members")).split("\n") if line.startswith("member: ")]
 
 
 async def settled(controls: list[Address], count: int) -> float:
@@ -129,7 +129,7 @@
             rows = await members(controls[0])
             assert [" leads" in row for row in rows] == [True, False, False, False]
             assert [" accepts" in row for row in rows] == [False, False, False, True]
-            total = (await ask(controls[0], "show-members")).split("\n")[1]
+            total = (await admin_call(controls[0], "show-members")).split("\n")[1]
             limit = tuple(map(int, re.findall(r"\d+", total)))
             for _ in range(10):
                 sums = await total_reserve(controls)
@@ -172,18 +172,18 @@
             middle.send_signal(signal.SIGKILL)
             await middle.wait()
             await settled([one, three], 2)
-            limit = tuple(map(int, re.findall(r"\d+", (await ask(one, "show-members")).split("\n")[1])))
+            limit = tuple(map(int, re.findall(r"\d+", (await admin_call(one, "show-members")).split("\n")[1])))
             while await total_reserve([one, three]) != limit:
                 await asyncio.sleep(0.02)
             # The drain is sent over the new link between the remaining processes.
-            assert (await ask(three, "drain")).startswith("ok")
-            while not any("1|g" in line for line in [await ask(one, "ready")]):
+            assert (await admin_call(three, "drain")).startswith("ok")
+            while not any("1|g" in line for line in [await admin_call(one, "ready")]):
                 caller = await RespClient.connect(processes.address)
                 answer = await caller.request(PING)
                 caller.writer.close()
                 if "draining" in str(answer):
                     break
-            assert (await ask(three, "resume")).startswith("ok")
+            assert (await admin_call(three, "resume")).startswith("ok")
 
     run_async(body())
 
@@ -258,8 +258,8 @@
         path = tmp_path / "there"
         async with (
             fake_endpoint() as peer,
-            process(ingress_config(peer), path) as (first, _),
-            process(ingress_config(peer), path) as (second, _),
+            ingress_process(ingress_config(peer), path) as (first, _),
+            ingress_process(ingress_config(peer), path) as (second, _),
         ):
             await wait_until(
                 lambda: first.process_group.membership
@@ -304,11 +304,11 @@
         path = tmp_path / "there"
         async with (
             fake_endpoint() as peer,
-            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+            ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
         ):
             kept = await RespClient.connect(listen_address(first))
             await asyncio.sleep(0.5)  # while it is alone, it does not update its record
-            async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
+            async with ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
                 await wait_until(lambda: first.process_group.successor)
                 await asyncio.sleep(0.6)  # longer than the delay before a reconnect
                 assert first.process_group.links and second.process_group.links
@@ -336,12 +336,12 @@
         path = tmp_path / "there"
         async with (
             fake_endpoint() as peer,
-            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+            ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
         ):
             kept = await RespClient.connect(listen_address(first))
             async with (
-                process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _),
-                process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (third, _),
+                ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _),
+                ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (third, _),
             ):
                 await wait_until(lambda: first.process_group.successor and second.process_group.successor)
                 assert first.process_group.links and third.process_group.links
@@ -376,10 +376,10 @@
         path = tmp_path / "there"
         async with (
             fake_endpoint() as peer,
-            process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
+            ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (first, _),
         ):
             kept = await RespClient.connect(listen_address(first))
-            async with process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
+            async with ingress_process(ingress_config(peer, settings=SMALL_BURST_SETTINGS), path) as (second, _):
                 await wait_until(lambda: first.process_group.successor)
                 assert first.process_group.links and second.process_group.links
                 assert await kept.request(command("1")) == b"1"
@@ -420,7 +420,7 @@
 
 
 async def received_usage_messages(control: Address) -> int:
-    found = re.search(r"words: \d+ told, (\d+) heard", await ask(control, "show-members"))
+    found = re.search(r"words: \d+ told, (\d+) heard", await admin_call(control, "show-members"))
     assert found is not None
     return int(found[1])
 
--- a/tests/test_net_restart.py
+++ b/tests/test_net_restart.py
@@ -42,7 +42,7 @@
         return port
 
 
-async def start(path: Path) -> asyncio.subprocess.Process:
+async def start_program(path: Path) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -64,12 +64,12 @@
 
 
 @asynccontextmanager
-async def program(peer: Peer, path: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
+async def running_program(peer: Peer, path: Path) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     address = ("127.0.0.1", free_port())
     path = path / "config.json"
     fleet = (endpoint_entry(peer.address, f"s{n}") for n in range(8))
     path.write_text(config_text(*fleet, listen=f"127.0.0.1:{address[1]}"), encoding="utf-8")
-    process = await start(path)
+    process = await start_program(path)
     try:
         while True:
             try:
@@ -97,7 +97,7 @@
             writer.write(endpoint_answer(words[2]))
 
     async def body() -> None:
-        async with Peer(script) as peer, program(peer, tmp_path) as (process, address):
+        async with Peer(script) as peer, running_program(peer, tmp_path) as (process, address):
             slow, idle = await RespClient.connect(address), await RespClient.connect(address)
             slow.writer.write(command("slow"))
             assert await idle.request(command("before")) == b"before"
@@ -127,7 +127,7 @@
     """Clients send requests without a pause, over new connections and over a persistent one."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, program(peer, tmp_path) as (first, address):
+        async with fake_endpoint() as peer, running_program(peer, tmp_path) as (first, address):
             over = asyncio.Event()
             answers: list[bytes] = []
 
@@ -153,7 +153,7 @@
             (tmp_path / "second.json").write_text(
                 json.dumps(source | {"control": f"127.0.0.1:{control[1]}"}), encoding="utf-8"
             )
-            second = await start(tmp_path / "second.json")
+            second = await start_program(tmp_path / "second.json")
             try:
                 while not await ready(control):
                     await asyncio.sleep(0.01)
@@ -179,7 +179,7 @@
             requests.append(await reader.readline())
             await reader.read()
 
-        async with fake_endpoint() as peer, Peer(agent) as moved, program(peer, tmp_path) as (process, address):
+        async with fake_endpoint() as peer, Peer(agent) as moved, running_program(peer, tmp_path) as (process, address):
             path = tmp_path / "config.json"
             valid_text = path.read_text(encoding="utf-8")
             path.write_text("{", encoding="utf-8")
@@ -201,7 +201,7 @@
 
 def test_open_requests_are_answered_before_sigkill(tmp_path: Path) -> None:
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, program(peer, tmp_path) as (process, address):
+        async with fake_endpoint(b"") as peer, running_program(peer, tmp_path) as (process, address):
             caller = await RespClient.connect(address)
             caller.writer.write(command(d=60_000))
             process.send_signal(signal.SIGTERM)
--- a/tests/test_net_signals.py
+++ b/tests/test_net_signals.py
@@ -159,7 +159,7 @@
         await program.reading
 
 
-def fleet(peer: Peer) -> list[dict[str, Any]]:
+def eight_endpoints(peer: Peer) -> list[dict[str, Any]]:
     """Return the entries of eight endpoints that are all the same peer."""
     return [endpoint_entry(peer.address, f"s{n}") for n in range(8)]
 
@@ -199,7 +199,7 @@
 
 def test_a_request_sent_with_sigterm_as_the_process_starts_to_listen_is_answered(tmp_path: Path) -> None:
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             caller = await program.first_connection()
             caller.writer.write(command("first"))
             program.process.send_signal(signal.SIGTERM)
@@ -228,7 +228,7 @@
             await reader.read()
 
         peer = Peer(script)
-        async with peer, launched(tmp_path, *fleet(peer)) as program:
+        async with peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             slow = await RespClient.connect(program.address)
             slow.writer.write(command("slow", d=1900))
@@ -256,7 +256,7 @@
     """SIGHUP is sent repeatedly until the exit; an ingress that SIGHUP terminates counts as crashed."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             caller = await RespClient.connect(program.address)
             assert await caller.request(command("one")) == b"one"
@@ -284,7 +284,7 @@
             writer.write(partial_response)
 
     async def body() -> None:
-        async with peer, launched(tmp_path, *fleet(peer)) as program:
+        async with peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             callers = [await RespClient.connect(program.address) for _ in range(6)]
             for number, caller in enumerate(callers):
@@ -321,7 +321,7 @@
     """
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             answered = list[bytes]()
             crossed = list[bytes]()
@@ -364,7 +364,7 @@
     """Requests arrive while the process is stopped in its drain, past the time at which it would close connections."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             callers = [await RespClient.connect(program.address) for _ in range(12)]
             for caller in callers:
@@ -404,7 +404,7 @@
             await reader.read()
 
         peer = Peer(script)
-        async with peer, launched(tmp_path, *fleet(peer)) as program:
+        async with peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             slow = await RespClient.connect(program.address)
             idle = await RespClient.connect(program.address)
@@ -450,7 +450,7 @@
     ]
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             good = program.path.read_text(encoding="utf-8")
             before = await program.call(b"show-config")
@@ -490,7 +490,7 @@
     """SIGHUP is sent every few milliseconds, before and during the drain."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             stop = asyncio.Event()
 
@@ -519,7 +519,7 @@
     """A planned restart uses the same address; nothing of the previous process may block it."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, launched(tmp_path, *fleet(peer)) as program:
+        async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             caller = await program.first_connection()
             assert await caller.request(command("one")) == b"one"
             program.process.send_signal(signal.SIGTERM)
--- a/tests/test_net_tls.py
+++ b/tests/test_net_tls.py
@@ -36,7 +36,7 @@
     wait_until,
 )
 from tests.test_net_backends import PoolUnderTest
-from tests.test_net_ingress import serving
+from tests.test_net_ingress import running_ingress
 from tests.test_net_restart import free_port
 
 PING = resp(b"PING")
@@ -84,7 +84,7 @@
         server, listener = authority.sign("s1"), authority.sign("ingress")
         async with (
             SecurePeer(server) as peer,
-            serving(
+            running_ingress(
                 config(endpoint_entry(peer.address), tls=listener.spec(), **{"server-tls": {"ca": str(authority.path)}})
             ) as (served, address),
         ):
@@ -122,7 +122,7 @@
         pair = authority.sign("both")
         async with (
             SecurePeer(pair, LONG) as peer,
-            serving(
+            running_ingress(
                 config(endpoint_entry(peer.address), tls=pair.spec(), **{"server-tls": {"ca": str(authority.path)}})
             ) as (_, address),
         ):
@@ -141,7 +141,7 @@
     monkeypatch.setattr("ingress.server.client_server.TLS_HANDSHAKE_TIMEOUT", 0.2)
 
     async def body() -> None:
-        async with serving(config(tls=authority.sign("ingress").spec())) as (served, address):
+        async with running_ingress(config(tls=authority.sign("ingress").spec())) as (served, address):
             caller = await RespClient.connect(address)
             caller.writer.write(data)
             with pytest.raises((EOFError, ConnectionError, Exception)):
@@ -158,7 +158,7 @@
     async def body() -> None:
         stranger = Authority(authority.folder.parent / "other", "stranger")
         tls = authority.sign("ingress").spec(ca=str(authority.path))
-        async with serving(config(tls=tls)) as (served, address):
+        async with running_ingress(config(tls=tls)) as (served, address):
             good = await secure(address, trusting(authority, authority.sign("client")))
             assert await good.request(PING) == b"PONG"
             for pair in (None, stranger.sign("client")):
@@ -275,7 +275,7 @@
     async def body() -> None:
         old, new = authority.sign("old"), authority.sign("new")
         text = config_text(tls=old.spec())
-        async with serving(read_config(text)) as (served, address):
+        async with running_ingress(read_config(text)) as (served, address):
             context = trusting(authority)
             incoming, outgoing = ssl.MemoryBIO(), ssl.MemoryBIO()
             client = context.wrap_bio(incoming, outgoing, server_hostname="127.0.0.1")
--- a/tests/test_net_upload.py
+++ b/tests/test_net_upload.py
@@ -31,7 +31,7 @@
     wait_until,
 )
 from tests.peers import resp as words
-from tests.test_net_ingress import Stub, send, serving
+from tests.test_net_ingress import StubGateway, running_ingress, start_attempts
 
 LONG = bytes(range(256)) * 4096  # 1 MiB
 UPLOAD = command("long", cls="order", body=LONG)
@@ -78,7 +78,7 @@
     async def body() -> None:
         async with (
             length_endpoint() as peer,
-            serving(config(*(endpoint_entry(peer.address, f"s{n}") for n in range(8)))) as (served, address),
+            running_ingress(config(*(endpoint_entry(peer.address, f"s{n}") for n in range(8)))) as (served, address),
         ):
             caller = await RespClient.connect(address)
             data = command("before") + UPLOAD + command("after")
@@ -108,8 +108,8 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            stub = Stub(send)
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            stub = StubGateway(start_attempts)
             served.runner.gateway = stub  # type: ignore[assignment]
             data = UPLOAD.replace(b"d=2000", b"d=0300")
             caller = await RespClient.connect(address)
@@ -144,7 +144,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             peer.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 14)
             caller = await RespClient.connect(address)
             big = command("big", cls="order", body=bytes(resp.MAX_VALUE_BYTES))
@@ -171,7 +171,10 @@
     async def body() -> None:
         async with (
             Peer(script) as peer,
-            serving(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"))) as (served, address),
+            running_ingress(config(endpoint_entry(peer.address), endpoint_entry(peer.address, "s2"))) as (
+                served,
+                address,
+            ),
         ):
             caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
@@ -191,15 +194,18 @@
     async def body() -> None:
         async with (
             length_endpoint() as peer,
-            serving(config(endpoint_entry(("127.0.0.1", 1)), endpoint_entry(peer.address, "s2"))) as (served, address),
+            running_ingress(config(endpoint_entry(("127.0.0.1", 1)), endpoint_entry(peer.address, "s2"))) as (
+                served,
+                address,
+            ),
         ):
 
             def plan(event: Event) -> list[Action]:
                 if isinstance(event, AttemptEnded) and not event.request_finished:
                     return [StartAttempt(event.request_id, "s2")]
-                return send(event)
+                return start_attempts(event)
 
-            served.runner.gateway = Stub(plan)  # type: ignore[assignment]
+            served.runner.gateway = StubGateway(plan)  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             assert await caller.request(UPLOAD) == b"%d" % len(LONG)
 
@@ -213,7 +219,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
             await wait_until(lambda: peer.commands)
@@ -234,7 +240,10 @@
     monkeypatch.setattr(client_server, "SWEEP_INTERVAL", 0.01)
 
     async def body() -> None:
-        async with length_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with (
+            length_endpoint() as peer,
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
+        ):
             caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
             with pytest.raises((EOFError, ConnectionError)):
@@ -256,7 +265,10 @@
 )
 def test_a_malformed_long_body_closes_the_connection(data: bytes) -> None:
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
+        async with (
+            fake_endpoint(b"") as peer,
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
+        ):
             caller = await RespClient.connect(address)
             caller.writer.write(data)
             with pytest.raises((EOFError, ConnectionError)):
@@ -271,8 +283,8 @@
     """The sweep runs in between; the client could not send anything while reading was paused."""
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            served.runner.gateway = Stub(lambda event: [])  # type: ignore[assignment]
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
+            served.runner.gateway = StubGateway(lambda event: [])  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
             await wait_until(lambda: [c for c in served.clients.connections if c.upload_paused])
@@ -295,8 +307,11 @@
     """Half a command was received before reading paused for a full pipeline; no timeout runs during the pause."""
 
     async def body() -> None:
-        async with fake_endpoint(b"") as peer, serving(config(endpoint_entry(peer.address))) as (served, address):
-            served.runner.gateway = Stub(send)  # type: ignore[assignment]
+        async with (
+            fake_endpoint(b"") as peer,
+            running_ingress(config(endpoint_entry(peer.address))) as (served, address),
+        ):
+            served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(
                 b"".join(command(f"r{n}") for n in range(client_connection.MAX_PIPELINED + 1)) + b"*4\r\n$8"
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -11,7 +11,7 @@
 from ingress.endpoint_registry import store as store_module
 from ingress.endpoint_registry.store import Store
 from ingress.ingressctl.main import main
-from tests.test_registry import row
+from tests.test_registry import endpoint_row
 
 
 def test_power_lost_after_any_operation_loses_nothing_that_was_answered(tmp_path: Path) -> None:
@@ -47,9 +47,9 @@
     """As a page that was lost would leave it: each row carries its own digest, and all of them together another."""
     store = Store(tmp_path / "list")
     for n in range(3):
-        store.write(store.version + 1, [(row(f"s{n}"), 0.0)])
+        store.write(store.version + 1, [(endpoint_row(f"s{n}"), 0.0)])
     before = store.base.execute("SELECT * FROM entries WHERE id = 's1'").fetchone()
-    store.write(store.version + 1, [({**row("s1"), "zone": "moved"}, 0.0)])
+    store.write(store.version + 1, [({**endpoint_row("s1"), "zone": "moved"}, 0.0)])
     store.base.execute("INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?)", before)
     given = store.version
     store.close()
@@ -61,7 +61,7 @@
 
 def test_a_store_from_before_the_seal_is_taken_on_and_sealed(tmp_path: Path) -> None:
     store = Store(tmp_path / "list")
-    store.write(store.version + 1, [(row("s1"), 0.0)])
+    store.write(store.version + 1, [(endpoint_row("s1"), 0.0)])
     store.base.execute("DELETE FROM meta WHERE key = 'content'")
     store.base.execute("PRAGMA user_version = 1")
     given = store.version
@@ -74,7 +74,7 @@
 
 def test_versions_go_on_after_a_kill_and_above_all_given_after_a_loss_of_power(tmp_path: Path) -> None:
     store = Store(tmp_path, boot=lambda: "one")
-    store.write(store.version + 1, [(row("s1"), 0.0)])
+    store.write(store.version + 1, [(endpoint_row("s1"), 0.0)])
     given = store.version
     store.base.close()
     store._unlock()  # a kill: nothing is said
--- a/tests/test_quota_replay.py
+++ b/tests/test_quota_replay.py
@@ -33,7 +33,7 @@
 from ingress.observability.request_log import UNKNOWN_NAMES, FleetLog, TooManyRequestsError
 from ingress.runtime.logs import JsonLines
 from tests.peers import SETTINGS, RespClient, config, config_text, endpoint_entry, fake_endpoint, resp, run_async
-from tests.test_net_ingress import serving
+from tests.test_net_ingress import running_ingress
 
 REQUESTS = "ingress.requests"
 INGRESS = "ingress.ingress"
@@ -306,7 +306,7 @@
     names = b"c=read,t=basic,d=2000,units=2.5,spread=4,first=1,r=1"
 
     async def body() -> None:
-        async with fake_endpoint() as peer, serving(config(endpoint_entry(peer.address))) as (_, address):
+        async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
             caller = await RespClient.connect(address)
             assert await caller.request(resp(b"API.READ", A.encode(), b"one", names)) == b"one"
 
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -38,7 +38,7 @@
 KEY = {"Authorization": f"Bearer {TOKEN}"}
 
 
-def row(name: str, state: str = "ready", port: int = 6379) -> dict[str, Any]:
+def endpoint_row(name: str, state: str = "ready", port: int = 6379) -> dict[str, Any]:
     return {
         "id": name,
         "addr": f"127.0.0.1:{port}",
@@ -71,7 +71,7 @@
             return answer.status, await answer.json()
 
     async def put(self, name: str, **more: Any) -> int:
-        status, body = await self.call("PUT", f"/api/targets/{name}", row(name) | more)
+        status, body = await self.call("PUT", f"/api/targets/{name}", endpoint_row(name) | more)
         assert status == 200, body
         return int(body["version"])
 
@@ -80,7 +80,7 @@
 
 
 @asynccontextmanager
-async def serving(folder: Path, **more: Any) -> AsyncIterator[tuple[Service, Client, tuple[str, int]]]:
+async def running_registry(folder: Path, **more: Any) -> AsyncIterator[tuple[Service, Client, tuple[str, int]]]:
     service = Service(Store(folder), TOKEN, **more)
     listener = Listener(service.app())
     address = await listener.open("127.0.0.1", 0)
@@ -97,7 +97,7 @@
 
 def test_a_list_and_its_changes_are_what_an_ingress_reads(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             first = service.catalog.version
             one = await client.put("one")
             two = await client.put("two", state="draining")
@@ -105,7 +105,7 @@
             listing = read_endpoint_list(whole)
             assert (status, listing.version, listing.is_complete) == (200, two, True) and first < one < two
             assert [b.id for b in listing.endpoints] == ["one", "two"]
-            assert whole["servers"][0] == row("one")
+            assert whole["servers"][0] == endpoint_row("one")
             _, part = await client.get(f"/api/targets?after={one}&wait_ms=0")
             assert (part["full"], [r["id"] for r in part["servers"]]) == (False, ["two"])
             _, none = await client.get(f"/api/targets?after={two}&wait_ms=50")
@@ -119,7 +119,7 @@
 
 def test_one_change_wakes_all_and_is_encoded_once(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             version, counts = await client.put("s0"), []
             for watchers in (10, 80):
                 tasks = [client.watch(version) for _ in range(watchers)]
@@ -140,7 +140,7 @@
     monkeypatch.setattr(list_api_module, "NOTIFY_DELAY", 2.0)
 
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             task = client.watch(service.catalog.version)
             while not service.watchers:
                 await asyncio.sleep(0.005)
@@ -154,7 +154,7 @@
 
 def test_no_change_between_two_calls_is_missed(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             seen, version, done = dict[str, Any](), service.catalog.version, False
 
             async def write() -> None:
@@ -192,7 +192,7 @@
 )
 def test_odd_watches(query: str, status: int, tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (_, client, _):
+        async with running_registry(tmp_path) as (_, client, _):
             await client.put("one")
             found, answer = await client.get(f"/api/targets?{query}")
             assert found == status
@@ -208,7 +208,7 @@
     monkeypatch.setattr(list_api_module, "MAX_WAIT_MS", 50)
 
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             version = service.catalog.version
             _, none = await client.watch(version, 10**9)
             assert none == {"version": version, "full": False, "servers": []}
@@ -222,7 +222,7 @@
     monkeypatch.setattr(list_api_module, "MAX_WATCHERS", 3)
 
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             tasks = [client.watch(service.catalog.version) for _ in range(3)]
             while service.watchers < 3:
                 await asyncio.sleep(0.005)
@@ -244,7 +244,7 @@
     monkeypatch.setattr(http_server_module, "MAX_CONNECTIONS", 2)
 
     async def body() -> None:
-        async with serving(tmp_path) as (_, _, address):
+        async with running_registry(tmp_path) as (_, _, address):
             held = [await asyncio.open_connection(*address) for _ in range(2)]
             reader, writer = await asyncio.open_connection(*address)
             assert (await reader.read()).startswith(b"HTTP/1.1 503") and len(held) == 2
@@ -258,12 +258,15 @@
     monkeypatch.setattr(catalog_module, "MAX_TOMBSTONES", 3)
     catalog = Catalog(10)
     for n in range(6):
-        catalog.apply(11 + 2 * n, [row(f"s{n}")])
-        catalog.apply(12 + 2 * n, [row(f"s{n}", "gone")])
+        catalog.apply(11 + 2 * n, [endpoint_row(f"s{n}")])
+        catalog.apply(12 + 2 * n, [endpoint_row(f"s{n}", "gone")])
     assert len(catalog.last_changes) == 3 and catalog.changes_since(11) == (True, [])
-    assert catalog.changes_since(catalog.oldest_known_version) == (False, [row(f"s{n}", "gone") for n in (3, 4, 5)])
+    assert catalog.changes_since(catalog.oldest_known_version) == (
+        False,
+        [endpoint_row(f"s{n}", "gone") for n in (3, 4, 5)],
+    )
     with pytest.raises(ValueError, match="version"):
-        catalog.apply(catalog.version, [row("s9")])
+        catalog.apply(catalog.version, [endpoint_row("s9")])
 
 
 # Writing
@@ -272,16 +275,16 @@
 @pytest.mark.parametrize(
     ("body", "field"),
     [
-        (row("s") | {"addr": "nowhere"}, "addr"),
-        (row("s") | {"addr": "127.0.0.1:0"}, "addr"),
-        (row("s") | {"state": "gone"}, "state"),
-        (row("s") | {"weight": -1}, "weight"),
-        (row("s") | {"weight": float("nan")}, "weight"),
-        (row("s") | {"cell": 1.5}, "cell"),
-        (row("s") | {"started_ms": "now"}, "started_ms"),
-        (row("s") | {"colour": "red"}, "colour"),
-        (row("s") | {"ttl_s": 0}, "ttl_s"),
-        (row("other"), "id"),
+        (endpoint_row("s") | {"addr": "nowhere"}, "addr"),
+        (endpoint_row("s") | {"addr": "127.0.0.1:0"}, "addr"),
+        (endpoint_row("s") | {"state": "gone"}, "state"),
+        (endpoint_row("s") | {"weight": -1}, "weight"),
+        (endpoint_row("s") | {"weight": float("nan")}, "weight"),
+        (endpoint_row("s") | {"cell": 1.5}, "cell"),
+        (endpoint_row("s") | {"started_ms": "now"}, "started_ms"),
+        (endpoint_row("s") | {"colour": "red"}, "colour"),
+        (endpoint_row("s") | {"ttl_s": 0}, "ttl_s"),
+        (endpoint_row("other"), "id"),
         ({"zone": "a"}, "addr"),
         ("{", "body"),
         ("[]", "body"),
@@ -290,7 +293,7 @@
 )
 def test_a_bad_entry_is_400_names_the_field_and_stores_nothing(body: Any, field: str, tmp_path: Path) -> None:
     async def script() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             before = service.catalog.version
             status, answer = await client.call("PUT", "/api/targets/s", body)
             assert status == 400 and any(field in fault for fault in answer["errors"]), answer
@@ -301,13 +304,15 @@
 
 def test_several_at_once_are_one_version_or_none(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             before = service.catalog.version
-            twice = {"servers": [row("a"), row("b"), row("a")]}
+            twice = {"servers": [endpoint_row("a"), endpoint_row("b"), endpoint_row("a")]}
             status, answer = await client.call("POST", "/api/targets", twice)
             assert status == 400 and "servers[2].id" in answer["errors"][0]
             assert service.catalog.version == before
-            status, answer = await client.call("POST", "/api/targets", {"servers": [row("a"), row("b")]})
+            status, answer = await client.call(
+                "POST", "/api/targets", {"servers": [endpoint_row("a"), endpoint_row("b")]}
+            )
             assert (status, answer["version"]) == (200, before + 1) and len(service.catalog.entries()) == 2
 
     run_async(body())
@@ -315,7 +320,7 @@
 
 def test_drain_remove_and_conditions(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             for verb, path in (
                 ("DELETE", "/api/targets/x"),
                 ("POST", "/api/targets/x/drain"),
@@ -326,9 +331,9 @@
             stale = {"If-Match": f'"{version - 1}"'}
             for verb, path, data in (
                 ("DELETE", "/api/targets/x", None),
-                ("PUT", "/api/targets/x", row("x")),
+                ("PUT", "/api/targets/x", endpoint_row("x")),
                 ("POST", "/api/targets/x/drain", None),
-                ("PUT", "/api/targets/y", row("y")),
+                ("PUT", "/api/targets/y", endpoint_row("y")),
             ):
                 assert (await client.call(verb, path, data, **stale))[0] == 412
             assert service.catalog.version == version
@@ -344,25 +349,25 @@
 
 def test_a_write_needs_the_token_and_reading_none(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             for given in ("", "Bearer", "Bearer wrong", "Bearer é"):
-                status, _ = await client.call("PUT", "/api/targets/s", row("s"), Authorization=given)
+                status, _ = await client.call("PUT", "/api/targets/s", endpoint_row("s"), Authorization=given)
                 assert status == 401
             assert not service.catalog.entries() and (await client.get())[0] == 200
             service.token = ""
-            assert (await client.call("PUT", "/api/targets/s", row("s"), Authorization="Bearer "))[0] == 401
+            assert (await client.call("PUT", "/api/targets/s", endpoint_row("s"), Authorization="Bearer "))[0] == 401
 
     run_async(body())
 
 
 def test_a_full_disk_refuses_the_write_and_the_service_goes_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, _):
+        async with running_registry(tmp_path) as (service, client, _):
             version = await client.put("one")
             pages = service.store.base.execute("PRAGMA page_count").fetchone()[0]
             service.store.base.execute(f"PRAGMA max_page_count = {pages}")
             status, answer = await client.call(
-                "POST", "/api/targets", {"servers": [row(f"s{n}") | {"kind": "k" * 500} for n in range(200)]}
+                "POST", "/api/targets", {"servers": [endpoint_row(f"s{n}") | {"kind": "k" * 500} for n in range(200)]}
             )
             assert status == 507 and "full" in answer["errors"][0]
             assert (await client.get())[1]["version"] == version
@@ -383,7 +388,7 @@
     monkeypatch.setattr(http_server_module, "SWEEP_PERIOD", 0.05)
 
     async def body() -> None:
-        async with serving(tmp_path) as (_, client, address):
+        async with running_registry(tmp_path) as (_, client, address):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(start)
             answer = asyncio.create_task(reader.read())
@@ -399,7 +404,7 @@
 
 def test_an_endless_head_and_a_body_over_the_limit(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, address):
+        async with running_registry(tmp_path) as (service, client, address):
             reader, writer = await asyncio.open_connection(*address)
             writer.write(b"GET / HTTP/1.1\r\nX: " + b"x" * 100_000)
             assert b" 400 " in (await reader.read())[:20]
@@ -420,8 +425,8 @@
     monkeypatch.setattr(http_server_module, "SWEEP_PERIOD", 0.05)
 
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, address):
-            rows = [row(f"s{n}") | {"kind": "k" * 400} for n in range(1000)]
+        async with running_registry(tmp_path) as (service, client, address):
+            rows = [endpoint_row(f"s{n}") | {"kind": "k" * 400} for n in range(1000)]
             assert (await client.call("POST", "/api/targets", {"servers": rows}))[0] == 200
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -489,7 +494,7 @@
     clock = [0.0]
 
     async def body() -> None:
-        async with serving(tmp_path, clock=lambda: clock[0]) as (service, client, _):
+        async with running_registry(tmp_path, clock=lambda: clock[0]) as (service, client, _):
             for n in range(4):
                 await client.put(f"s{n}", ttl_s=1.0)
             await client.put("kept")
@@ -512,11 +517,11 @@
 def test_what_is_written_is_there_again_with_its_version(tmp_path: Path) -> None:
     store = Store(tmp_path)
     version = store.version
-    store.write(version + 1, [(row("a"), 5.0), (row("b"), 0.0)])
-    store.write(version + 2, [(row("a", "gone"), 0.0)])
+    store.write(version + 1, [(endpoint_row("a"), 5.0), (endpoint_row("b"), 0.0)])
+    store.write(version + 2, [(endpoint_row("a", "gone"), 0.0)])
     store.close()
     again = Store(tmp_path)
-    assert again.version == version + 2 and again.rows == [(row("b"), version + 1, 0.0)]
+    assert again.version == version + 2 and again.rows == [(endpoint_row("b"), version + 1, 0.0)]
     assert again.name == store.name
     again.close()
 
@@ -534,7 +539,7 @@
 ) -> None:
     store = Store(tmp_path / "one", now=lambda: 1_000_000)
     for n in range(50):
-        store.write(store.version + 1, [(row(f"s{n}"), 0.0)])
+        store.write(store.version + 1, [(endpoint_row(f"s{n}"), 0.0)])
     given = store.version
     store.close()
     assert Store(tmp_path / "two", now=lambda: 1_000_000 + 1_000).version > given  # a second later
@@ -551,7 +556,7 @@
     damage: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     store = Store(tmp_path)
-    store.write(store.version + 1, [(row(f"s{n}"), 0.0) for n in range(200)])
+    store.write(store.version + 1, [(endpoint_row(f"s{n}"), 0.0) for n in range(200)])
     given = store.version
     store.close()
     path = tmp_path / "list.db"
@@ -578,11 +583,11 @@
 def test_a_copy_is_restored_above_all_versions_given_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
     folder, copy = tmp_path / "list", tmp_path / "copy.db"
     store = Store(folder)
-    store.write(store.version + 1, [(row("a"), 0.0), (row("b"), 7.0)])
+    store.write(store.version + 1, [(endpoint_row("a"), 0.0), (endpoint_row("b"), 7.0)])
     other = sqlite3.connect(copy)
     store.base.backup(other)
     other.close()
-    store.write(store.version + 1, [(row("a", "gone"), 0.0), (row("c"), 0.0)])
+    store.write(store.version + 1, [(endpoint_row("a", "gone"), 0.0), (endpoint_row("c"), 0.0)])
     given = store.version
     store.close()
     again = Store(folder, restore=copy, now=lambda: 0)
@@ -757,7 +762,7 @@
         return {found["id"]: found for found in self.catalog.entries()}
 
     def write(self, name: str, state: str, life: float = 0.0) -> None:
-        made = row(name, state, port=1 + self.catalog.version % 60_000)
+        made = endpoint_row(name, state, port=1 + self.catalog.version % 60_000)
         self.store.write(self.catalog.version + 1, [(made, life)])
         self.catalog.apply(self.catalog.version + 1, [made])
         if life:
--- a/tests/test_registry_backups.py
+++ b/tests/test_registry_backups.py
@@ -22,7 +22,7 @@
 from ingress.endpoint_registry.store import SCHEMA, Store, StoreError
 from tests.peers import wait_until
 from tests.test_net_restart import free_port
-from tests.test_registry import TOKEN, row, run_async, serving
+from tests.test_registry import TOKEN, endpoint_row, run_async, running_registry
 
 ROOT = Path(__file__).resolve().parent.parent
 
@@ -30,7 +30,7 @@
 def filled(folder: Path, count: int = 5) -> Store:
     store = Store(folder)
     for n in range(count):
-        store.write(store.version + 1, [(row(f"s{n}"), 0.0)])
+        store.write(store.version + 1, [(endpoint_row(f"s{n}"), 0.0)])
     return store
 
 
@@ -45,7 +45,7 @@
     store = filled(tmp_path / "list")
     taken = tool("backup", "--data", tmp_path / "list", "--to", tmp_path / "copies")
     assert taken.returncode == 0 and "5 entries" in taken.stdout, taken.stderr
-    store.write(store.version + 1, [(row("late"), 0.0)])
+    store.write(store.version + 1, [(endpoint_row("late"), 0.0)])
     second = take_backup(tmp_path / "list", tmp_path / "copies")
     assert [copy.entries for copy in backups(tmp_path / "copies")] == [5, 6]
     given = store.version
@@ -66,7 +66,7 @@
 def test_only_so_many_copies_are_kept_and_the_oldest_go(tmp_path: Path) -> None:
     store = filled(tmp_path / "list", 1)
     for n in range(4):
-        store.write(store.version + 1, [(row(f"t{n}"), 0.0)])
+        store.write(store.version + 1, [(endpoint_row(f"t{n}"), 0.0)])
         take_backup(tmp_path / "list", tmp_path / "copies", keep=2)
     assert [copy.entries for copy in backups(tmp_path / "copies")] == [4, 5]
     assert len(list((tmp_path / "copies").iterdir())) == 4
@@ -161,7 +161,7 @@
     (tmp_path / "list" / "bound").write_bytes(text.encode())
     again = Store(tmp_path / "list")
     assert "bound of versions was damaged" in caplog.text and list((tmp_path / "list").glob("bound.damaged-*"))
-    again.write(again.version + 1, [(row("new"), 0.0)])
+    again.write(again.version + 1, [(endpoint_row("new"), 0.0)])
     assert again.version > given
     again.close()
 
@@ -190,7 +190,7 @@
     store = filled(tmp_path / "list")
     folder = tmp_path / "copies"
     take_backup(tmp_path / "list", folder)
-    store.write(store.version + 1, [(row("more"), 0.0)])
+    store.write(store.version + 1, [(endpoint_row("more"), 0.0)])
     points = 0
     while True:
         shutil.rmtree(tmp_path / "trial", ignore_errors=True)
@@ -238,13 +238,13 @@
 
     async def body() -> None:
         stop = asyncio.Event()
-        async with serving(tmp_path / "one") as (first, _, address):
+        async with running_registry(tmp_path / "one") as (first, _, address):
             one = Registration([address], Entry("s-1", "127.0.0.1:6379", 0.5), TOKEN, random.Random(1))
             task = asyncio.create_task(one.run(stop))
             await wait_until(lambda: one.renewals >= 3)
             assert [entry["id"] for entry in first.catalog.entries()] == ["s-1"]
         await wait_until(lambda: one.failures >= 2)  # the service is gone; nothing ends
-        async with serving(tmp_path / "another") as (second, _, address):
+        async with running_registry(tmp_path / "another") as (second, _, address):
             one.services[:] = [("127.0.0.1", 1), address]
             await wait_until(lambda: [entry["id"] for entry in second.catalog.entries()] == ["s-1"])
             stop.set()
@@ -256,7 +256,7 @@
 
 def test_a_wrong_token_or_entry_ends_it_with_the_reason(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path / "one") as (_, _, address):
+        async with running_registry(tmp_path / "one") as (_, _, address):
             for entry, token, told in (
                 (Entry("s", "127.0.0.1:1", 5.0), "wrong", "401|403"),
                 (Entry("s", "nowhere", 5.0), TOKEN, "400.*addr"),
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -30,11 +30,11 @@
     endpoint_answer,
     read_command,
 )
-from tests.test_net_control import SECOND
+from tests.test_net_control import ADMIN_LISTEN
 from tests.test_net_figures import read_metrics
-from tests.test_net_ingress import serving as ingress
+from tests.test_net_ingress import running_ingress as ingress
 from tests.test_net_restart import free_port
-from tests.test_registry import ROOT, TOKEN, Client, row, run_async, serving
+from tests.test_registry import ROOT, TOKEN, Client, endpoint_row, run_async, running_registry
 
 
 @asynccontextmanager
@@ -77,7 +77,7 @@
 
 
 def listing(version: int, *names: str) -> dict[str, Any]:
-    return {"version": version, "full": True, "servers": [row(name) for name in names]}
+    return {"version": version, "full": True, "servers": [endpoint_row(name) for name in names]}
 
 
 def names(relay: Relay) -> list[str]:
@@ -86,7 +86,7 @@
 
 def test_changes_come_through_one_watch_upstream_however_many_readers(tmp_path: Path) -> None:
     async def body() -> None:
-        async with serving(tmp_path) as (service, client, address), relaying(address) as (relay, near):
+        async with running_registry(tmp_path) as (service, client, address), relaying(address) as (relay, near):
             await client.put("one")
             await until(lambda: names(relay) == ["one"])
             tasks = [near.watch(relay.catalog.version) for _ in range(30)]
@@ -107,12 +107,15 @@
 def test_through_an_outage_it_serves_what_it_holds_and_comes_back(tmp_path: Path) -> None:
     async def body() -> None:
         spare = free_port()
-        async with serving(tmp_path) as (_, client, address), relaying(("127.0.0.1", spare), address) as (relay, near):
+        async with (
+            running_registry(tmp_path) as (_, client, address),
+            relaying(("127.0.0.1", spare), address) as (relay, near),
+        ):
             await client.put("one")
             await until(lambda: names(relay) == ["one"])  # the first address is dead: the second is asked
             assert (await near.get("/status"))[1]["connected"]
         folder = tmp_path / "relay"
-        async with serving(tmp_path) as (_, client, address):
+        async with running_registry(tmp_path) as (_, client, address):
             async with relaying(address, folder=folder) as (relay, near):
                 await until(lambda: names(relay) == ["one"])
                 version = relay.catalog.version
@@ -161,7 +164,10 @@
                 await until(lambda before=failures: relay.failures > before or relay.failures > 3)
                 await asyncio.sleep(0.1)
                 assert names(relay) == ["one"] and relay.catalog.version == seen
-            told[:] = "A", {"version": 61, "full": True, "servers": [row("one"), {"id": "bad"}, row("two")]}
+            told[:] = (
+                "A",
+                {"version": 61, "full": True, "servers": [endpoint_row("one"), {"id": "bad"}, endpoint_row("two")]},
+            )
             await until(lambda: names(relay) == ["one", "two"])  # what makes sense of it
 
     run_async(body())
@@ -190,8 +196,8 @@
 
 def test_a_damaged_last_list_is_not_used(tmp_path: Path) -> None:
     kept = RelayCache(tmp_path)
-    kept.save({"version": 7, "rows": [row("one")], "store": "A", "upstream": 7})
-    assert kept.load() == {"version": 7, "rows": [row("one")], "store": "A", "upstream": 7}
+    kept.save({"version": 7, "rows": [endpoint_row("one")], "store": "A", "upstream": 7})
+    assert kept.load() == {"version": 7, "rows": [endpoint_row("one")], "store": "A", "upstream": 7}
     path = tmp_path / "relay.json"
     path.write_text(path.read_text(encoding="utf-8").replace("one", "two"), encoding="utf-8")
     assert kept.load() is None
@@ -248,7 +254,7 @@
             peers = {"a": a, "b": b, "c": c}
             await client.put("a", addr=f"127.0.0.1:{a.address[1]}")
             over, answers = asyncio.Event(), list[Any]()
-            near = config(discovery=f"127.0.0.1:{relay_port}", control=SECOND)
+            near = config(discovery=f"127.0.0.1:{relay_port}", control=ADMIN_LISTEN)
             async with ingress(near) as (served, address):
                 await until(lambda: served.pool.listed_count() == 1)
 
