--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -124,9 +124,8 @@
         preferred = [s.info.id for s in gateway.cluster.endpoints.preferred]
         assert len(preferred) == 12
         gateway.handle(2.0, EndpointsChanged(EndpointListKind.REPLACE, fleet[1:]))
-        assert (
-            len({s.info.id for s in gateway.cluster.endpoints.preferred} - set(preferred)) <= 1
-        )  # one was removed, so at most one is new
+        # one was removed, so at most one is new
+        assert len({s.info.id for s in gateway.cluster.endpoints.preferred} - set(preferred)) <= 1
         for name in preferred:
             preferring_gateways[name] += 1
     assert min(preferring_gateways.values()) > 30  # the mean is 60
--- a/tests/test_net_bad_peers.py
+++ b/tests/test_net_bad_peers.py
@@ -465,10 +465,11 @@
     "a word without an end": (b"*2\r\n$1000000\r\n" + b"x" * 60_000, 1 << 20, 0.0),
     "an unknown command": (resp(b"GET", b"x"), 0, 0.0),
 }
+# A request up to its body.
 LONG = (
     b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n%016x\r\n$2\r\naa\r\n$41\r\n" % 7
     + b"c=order,t=basic,d=2000,k=0123456789abcdef\r\n$%d\r\n"
-)  # A request up to its body.
+)
 # For each flood: the data that is repeated to make 60 MB, with what precedes it, and whether the client reads.
 FLOODS: dict[str, tuple[bytes | tuple[bytes, bytes], bool]] = {
     "one value": ((LONG % FLOOD_BYTES, bytes(60_000)), True),
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -197,9 +197,8 @@
                 lambda n: ping_interval > 0 and n % ping_interval == 0,
             )
             reconnecting: list[asyncio.Task[None]] = []
-            silent = [
-                await RespClient.connect(program.control) for _ in range(20)
-            ]  # Silent clients of the admin server.
+            # Silent clients of the admin server.
+            silent = [await RespClient.connect(program.control) for _ in range(20)]
             try:
                 if how == "again":
                     reconnecting += [
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -480,9 +480,8 @@
 
 
 TRUNCATED = http(endpoint_list_json(42, True, endpoint_entry(HERE))[:-30], b"Content-Length: 9999")
-WITHOUT_LENGTH = http(
-    endpoint_list_json(42, True, endpoint_entry(HERE, "s9"))[:-20]
-)  # without a length the body ends with the connection
+# without a length the body ends with the connection
+WITHOUT_LENGTH = http(endpoint_list_json(42, True, endpoint_entry(HERE, "s9"))[:-20])
 
 
 @pytest.mark.parametrize(
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -86,9 +86,8 @@
 
 
 @pytest.mark.parametrize("disconnect", [close, reset])
-@pytest.mark.parametrize(
-    "count", [1, client_connection.MAX_PIPELINED + 1]
-)  # The last one is not read, nor is a disconnect.
+# The last one is not read, nor is a disconnect.
+@pytest.mark.parametrize("count", [1, client_connection.MAX_PIPELINED + 1])
 def test_nothing_that_waits_for_a_connection_is_sent_after_its_client_has_disconnected(
     disconnect: Callable[[socket.socket], None], count: int
 ) -> None:
@@ -104,9 +103,8 @@
             caller = await RespClient.connect(address)
             assert await caller.request(command("after")) == b"after"
             assert [words[2] for words in peer.commands] == [b"after"]
-            await wait_until(
-                lambda: len(served.clients.connections) == 1
-            )  # The disconnect is noticed even if reading was paused.
+            # The disconnect is noticed even if reading was paused.
+            await wait_until(lambda: len(served.clients.connections) == 1)
 
     run_async(body())
 
--- a/tests/test_net_long.py
+++ b/tests/test_net_long.py
@@ -129,9 +129,8 @@
             caller = await slow_caller(served, address)
             caller.writer.write(command())
             [client] = served.clients.connections
-            await wait_until(
-                lambda: client.is_write_paused
-            )  # The receive window of the client is full, because it reads nothing.
+            # The receive window of the client is full, because it reads nothing.
+            await wait_until(lambda: client.is_write_paused)
             assert client.transport is not None
             [request] = served.requests.in_flight.values()
             assert request.streaming_attempt is not None and request.streaming_attempt.connection is not None
--- a/tests/test_net_upload.py
+++ b/tests/test_net_upload.py
@@ -179,9 +179,8 @@
             caller = await RespClient.connect(address)
             caller.writer.write(UPLOAD[: HEAD + 100])
             answer = str(await caller.read_answer())
-            assert answer.startswith(
-                "BUSY"
-            )  # The connection broke before the last byte, so the request was not executed.
+            # The connection broke before the last byte, so the request was not executed.
+            assert answer.startswith("BUSY")
             assert peer.connections == 1
             caller.writer.write(UPLOAD[HEAD + 100 :] + command("next"))
             await wait_until(lambda: served.requests.received_count == 2)  # The remaining body is read and dropped.
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -329,16 +329,14 @@
 def test_a_starved_process_ignores_missing_responses() -> None:
     play = GatewayHarness(replace(UNLIMITED, hedging_allowed=True))
     [send] = started_attempts(play.send_request())
-    play.handle_after(
-        HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective + 0.5, TimerFired(TimerToken.HEDGE)
-    )  # half a second late
+    # half a second late
+    play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective + 0.5, TimerFired(TimerToken.HEDGE))
     play.end_attempt(send, TIMEOUT, after=0.2, request_finished=True)
     health = play.gateway.cluster.endpoints.by_id[send.endpoint_id].health
     assert health.failure_weight == 0.0
     assert any("starved" in a.text for a in play.actions if isinstance(a, LogMessage))
-    play.gateway.cluster.outliers.record_failure(
-        health, play.now, ERROR
-    )  # an error counts although the process is starved
+    # an error counts although the process is starved
+    play.gateway.cluster.outliers.record_failure(health, play.now, ERROR)
     assert health.failure_weight == 1.0
     play.gateway.cluster.outliers.record_failure(health, play.now + 5.0, TIMEOUT)
     assert health.failure_weight > 1.5
@@ -501,9 +499,8 @@
     assert harness.outliers.pending_actions == [StartHealthCheck("s0", 0.5)] and health.avoided(harness.now, 0)
     harness.outliers.health_check_ended(harness.now, HealthCheckEnded("s0", Outcome.OK))
     assert health.status is HealthStatus.PROBATION
-    assert not health.avoided(harness.now, 0) and health.avoided(
-        harness.now, 1
-    )  # a health check is no proof, so only one request
+    # a health check is no proof, so only one request
+    assert not health.avoided(harness.now, 0) and health.avoided(harness.now, 1)
 
 
 def test_a_failed_health_check_doubles_the_ejection_and_costs_no_request() -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -115,9 +115,8 @@
     play = GatewayHarness()
     assert started_attempts(play.send_request(time_left=4.0))
     assert started_attempts(play.send_request(time_left=3.7, is_retry=True))
-    assert not started_attempts(
-        play.send_request(time_left=2.5, is_retry=True)
-    )  # 1.5 s have passed, the objective is 1 s
+    # 1.5 s have passed, the objective is 1 s
+    assert not started_attempts(play.send_request(time_left=2.5, is_retry=True))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -142,9 +142,8 @@
     )
     assert (request.request_class, request.plan, request.deadline) == (IDEMPOTENT_CLASS, BASIC_PLAN, 104.0)
     play.gateway.forwarder.retry_budget.level = 5.0
-    [again] = started_attempts(
-        play.end_attempt(first, Outcome.CONNECT_FAILED, after=0.5)
-    )  # more than the new deadline allows
+    # more than the new deadline allows
+    [again] = started_attempts(play.end_attempt(first, Outcome.CONNECT_FAILED, after=0.5))
     assert again.request_id == first.request_id
     assert play.end_attempt(again, attempt=1) == [] and not play.gateway.requests
     assert play.gateway.customers["c"].concurrency.in_flight == 0
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -45,9 +45,8 @@
     play.gateway.forwarder.retry_budget.level = 5.0
     play.gateway.forwarder.hedging.win_rate = 1.0
     [send] = started_attempts(play.send_request(is_chunked=True))
-    assert not started_attempts(
-        play.handle_after(HEDGE_DELAY_RATIO, TimerFired(TimerToken.HEDGE))
-    )  # a hedge would need the same chunks
+    # a hedge would need the same chunks
+    assert not started_attempts(play.handle_after(HEDGE_DELAY_RATIO, TimerFired(TimerToken.HEDGE)))
     [again] = started_attempts(play.end_attempt(send, Outcome.CONNECT_FAILED))  # no chunk has been sent yet
     play.handle_after(0.0, UploadStarted(again.request_id))
     done = play.end_attempt(again, Outcome.CONNECT_FAILED, attempt=1)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -45,9 +45,8 @@
     old.end_attempt(send, after=0.0)
     new = successor_of(old)
     assert new.gateway.customers["c"].ceiling.level == 3.0
-    assert started_attempts(
-        new.send_request(0.0, customer="unseen")
-    )  # its ceiling is full: the customer was dropped or never seen
+    # its ceiling is full: the customer was dropped or never seen
+    assert started_attempts(new.send_request(0.0, customer="unseen"))
 
 
 def test_each_process_reports_its_usage_and_the_other_applies_it() -> None:
