--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Tests that are known to fail for a real fault: listed in KNOWN-RED.txt, and told at the end of each run."""
+"""The tests that are known to fail because of a real fault; KNOWN-RED.txt lists them, and each run prints them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,13 @@
 
 
 class KnownRed(Struct, frozen=True):
-    """One line of the list: the test's id, why it fails, and the issue."""
+    """One line of the list.
+
+    Attributes:
+        test: The pytest id of the test.
+        cause: Why it fails.
+        issue: The issue that tracks the fault.
+    """
 
     test: str
     cause: str
@@ -19,23 +25,31 @@
 
 
 class KnownRedError(Exception):
-    """The list can't be used; the text says why."""
+    """KNOWN-RED.txt is malformed or too long."""
 
 
 def load_known_red() -> list[KnownRed]:
-    """What is listed now; nothing where there is no list."""
+    """Read KNOWN-RED.txt; a missing file means that no test is known to fail.
+
+    Raises:
+        KnownRedError: The list is malformed or too long.
+    """
     return read_known_red(KNOWN_RED_PATH.read_text(encoding="utf-8") if KNOWN_RED_PATH.exists() else "")
 
 
 def read_known_red(text: str) -> list[KnownRed]:
-    """The lines of the list.  BadList where there are too many, or one lacks a part."""
+    """Parse the text of the list.
+
+    Raises:
+        KnownRedError: There are more than MAX_KNOWN_FAILURES lines, or a line lacks a part.
+    """
     lines = [line for line in text.splitlines() if line.strip()]
     if len(lines) > MAX_KNOWN_FAILURES:
-        raise KnownRedError(f"{len(lines)} tests are listed, {MAX_KNOWN_FAILURES} at most")
+        raise KnownRedError(f"KNOWN-RED.txt lists {len(lines)} tests; at most {MAX_KNOWN_FAILURES} are allowed")
     known = []
     for line in lines:
         parts = [part.strip() for part in line.split(";")]
         if len(parts) != 3 or not all(parts):
-            raise KnownRedError(f"not of the form `test; cause; issue`: {line}")
+            raise KnownRedError(f"line of KNOWN-RED.txt not of the form `test; cause; issue`: {line}")
         known.append(KnownRed(*parts))
     return known
--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on ephemeral loopback ports, and a configuration that leads to them."""
+"""Scripted servers on ephemeral loopback ports, a RESP client, and a configuration that points the ingress to them."""
 
 from __future__ import annotations
 
@@ -15,30 +15,44 @@
 from ingress.configuration.document import Config, read_config
 from ingress.ingress import Ingress
 
-TEST_TIMEOUT_S = 20.0  # s after which a test is stuck
+TEST_TIMEOUT_S = 20.0  # A test that runs longer counts as stuck.
 Address = tuple[str, int]
 Reader = asyncio.StreamReader
 Writer = asyncio.StreamWriter
 
 
 def run_async(body: Coroutine[Any, Any, None]) -> None:
+    """Run the coroutine in an event loop of its own; raise TimeoutError if it is stuck."""
     uvloop.run(asyncio.wait_for(body, TEST_TIMEOUT_S))
 
 
-async def wait_until(true: Callable[[], object]) -> None:
-    """Waits for something that the program under test does on its own."""
-    while not true():
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Poll until the condition holds, for effects of the program under test that cannot be awaited."""
+    while not condition():
         await asyncio.sleep(0.002)
 
 
-STARTED_PROCESSES: list[asyncio.subprocess.Process] = []  # ended after each test, whatever it says
+# Those still running are killed after each test, whether it passes or fails.
+STARTED_PROCESSES: list[asyncio.subprocess.Process] = []
 
 
 class Peer:
-    """A server; `script` plays each of its connections, given the connection's number."""
+    """A scripted server.
+
+    Attributes:
+        script: Handles one connection, given the number of the connection (from 0) and its streams.
+        connections: The number of connections accepted so far.
+        ended_connections: The number of connections whose script has ended.
+        commands: The commands received; kept by those scripts that record them.
+        tasks: The tasks of the open connections.
+        server: The listening server.
+        address: The address on which it listens.
+    """
 
     def __init__(self, script: Callable[[int, Reader, Writer], Awaitable[None]]) -> None:
-        self.script, self.connections, self.ended_connections = script, 0, 0
+        self.script = script
+        self.connections = 0
+        self.ended_connections = 0
         self.commands: list[list[bytes]] = []
         self.tasks: set[asyncio.Task[None]] = set()
 
@@ -68,6 +82,7 @@
 
 
 async def read_command(reader: Reader) -> list[bytes]:
+    """Read one RESP command and return its words."""
     count = int((await reader.readuntil(b"\r\n"))[1:])
     words = []
     for _ in range(count):
@@ -77,12 +92,15 @@
 
 
 def endpoint_answer(text: bytes) -> bytes:
-    """A backend's answer."""
+    """Encode the answer of an endpoint whose value is `text`."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(text), text)
 
 
 def fake_endpoint(answer: bytes | None = None) -> Peer:
-    """Answers each command with `answer`, or with its id; b"" stands for silence."""
+    """Return an endpoint that records each command and replies with `answer`.
+
+    With None it replies with the id of the request, and with b"" not at all.
+    """
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
@@ -103,36 +121,59 @@
     body: bytes | None = None,
     extra: str = "",
 ) -> bytes:
+    """Encode the RESP command of a request; any class but `read` writes, with an idempotency key and a body.
+
+    Args:
+        request: The request id.
+        cls: The request class.
+        d: The deadline in milliseconds.
+        customer: The customer, encoded in hexadecimal.
+        verb: The command; None chooses it by the class.
+        body: The body; None sends none with a read.
+        extra: Further fields for the header, each after a comma.
+    """
     if cls != "read":
-        verb, extra, body = verb or "API.WRITE", extra + ",k=0123456789abcdef", body or b"body"
+        verb = verb or "API.WRITE"
+        extra = extra + ",k=0123456789abcdef"
+        body = body or b"body"
     names = f"c={cls},t=basic,d={d}{extra},units=1,spread=1,first=0"
     words = [(verb or "API.READ").encode(), b"%016x" % customer, request.encode(), names.encode()]
     return resp(*words, *([] if body is None else [body]))
 
 
 def resp(*words: bytes) -> bytes:
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
+    """Encode the words as a RESP array of bulk strings."""
+    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
 
 
 class RespClient:
-    """A client's connection."""
+    """The client side of a RESP connection."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
-        self.reader, self.writer, self.parser = reader, writer, hiredis.Reader(notEnoughData=self)
+        self.reader = reader
+        self.writer = writer
+        self.parser = hiredis.Reader(notEnoughData=self)  # This object stands for an incomplete answer.
 
     @classmethod
     async def connect(cls, address: Address) -> Self:
+        """Connect to the address."""
         return cls(*await asyncio.open_connection(*address))
 
     async def read_answer(self) -> Any:
-        while (found := self.parser.gets()) is self:
+        """Read one answer.
+
+        Raises:
+            EOFError: The connection was closed before a complete answer.
+        """
+        while (answer := self.parser.gets()) is self:
             data = await self.reader.read(1 << 16)
             if not data:
                 raise EOFError
             self.parser.feed(data)
-        return found
+        return answer
 
     async def request(self, data: bytes) -> Any:
+        """Send the data and read one answer."""
         self.writer.write(data)
         return await self.read_answer()
 
@@ -162,6 +203,7 @@
 
 
 def endpoint_entry(address: Address, name: str = "s1", state: str = "ready", started: int = 0) -> dict[str, Any]:
+    """Return the entry of an endpoint as the endpoint list contains it."""
     return {
         "id": name,
         "addr": f"{address[0]}:{address[1]}",
@@ -177,6 +219,7 @@
 def config_text(
     *servers: dict[str, Any], listen: str = "127.0.0.1:0", discovery: str = "127.0.0.1:1", **changes: Any
 ) -> str:
+    """Return the text of a configuration file with these endpoints; a changed field that is None is left out."""
     source = {
         "name": "n0",
         "listen": listen,
@@ -186,15 +229,16 @@
         "known": {"version": 1, "full": True, "servers": list(servers)},
         "settings": SETTINGS,
     }
-    return json.dumps({k: v for k, v in (source | changes).items() if v is not None})
+    return json.dumps({key: value for key, value in (source | changes).items() if value is not None})
 
 
 def config(*servers: dict[str, Any], **changes: Any) -> Config:
+    """Return the configuration that `config_text` describes."""
     return read_config(config_text(*servers, **changes))
 
 
 def override_config(served: Ingress, **changes: Any) -> None:
-    """Changes fields of the active configuration and the limits of requests, and nothing else in the process."""
+    """Change fields of the active configuration and the limits of requests, and nothing else in the process."""
     versions = served.changes.versions.versions
     versions[-1] = replace(versions[-1], config=replace(versions[-1].config, **changes))
     served.requests.limits = request_limits(versions[-1].config)
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,6 +1,6 @@
-"""The modules of the package import only downwards through its layers, and never in a circle.
+"""The modules of the package import only from lower layers, and never in a cycle.
 
-Every `import` counts, wherever it stands: at the top, in a function or under TYPE_CHECKING.
+Every `import` statement counts: at the top of a module, in a function, or under TYPE_CHECKING.
 """
 
 import ast
@@ -10,7 +10,7 @@
 ROOT = Path(__file__).parents[1]
 PACKAGE = "ingress"
 
-# From the lowest layer to the highest; the packages or modules of one line must not import each other.
+# From the lowest layer to the highest; the packages or modules of one layer must not import each other.
 LAYERS = [
     ["ingress.errors"],
     ["ingress.decisions"],
@@ -34,13 +34,13 @@
 
 
 def module_name(path: Path) -> str:
-    """Returns the dotted name of a file of the package."""
+    """Return the dotted module name of a file of the package."""
     parts = path.relative_to(ROOT).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def imported_names(tree: ast.AST) -> Iterator[str]:
-    """Dotted names of all imports; for `from x import y` both `x.y`, which may be a module, and `x`."""
+    """Yield the dotted names of all imports; for `from x import y` both `x.y`, which may be a module, and `x`."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
@@ -53,7 +53,7 @@
 
 
 def read_imports() -> dict[str, set[str]]:
-    """The modules of the package that each of its modules imports; packages without code of their own don't count."""
+    """Return the modules of the package that each of its modules imports; `__init__` modules are left out."""
     paths = {module_name(path): path for path in (ROOT / PACKAGE).rglob("*.py")}
     packages = {name for name, path in paths.items() if path.name == "__init__.py"}
     return {
@@ -64,7 +64,7 @@
 
 
 def layer_entry(module: str) -> tuple[int, str]:
-    """The number of the module's layer, and the package or module of that layer to which it belongs."""
+    """Return the number of the module's layer, and the package or module in LAYERS to which it belongs."""
     found = [
         (number, entry)
         for number, layer in enumerate(LAYERS)
@@ -76,13 +76,14 @@
 
 
 def breaks_layers(importer: str, imported: str) -> bool:
-    """Tells whether an import goes upwards, or sideways to another package of the same layer."""
-    (number, entry), (other_number, other_entry) = layer_entry(importer), layer_entry(imported)
-    return entry != other_entry and other_number >= number
+    """Report whether an import goes to a higher layer, or to another package of the same layer."""
+    importer_layer, importer_entry = layer_entry(importer)
+    imported_layer, imported_entry = layer_entry(imported)
+    return importer_entry != imported_entry and imported_layer >= importer_layer
 
 
 def circular_imports(imports: dict[str, set[str]]) -> set[tuple[str, str]]:
-    """The imports from which the importing module can be reached again."""
+    """Return the imports that belong to a cycle, as pairs of importing and imported module."""
 
     def reachable(start: str) -> set[str]:
         seen: set[str] = set()
@@ -97,7 +98,7 @@
     return {(module, other) for module, others in imports.items() for other in others if module in reached[other]}
 
 
-def test_imports_go_downwards() -> None:
+def test_imports_go_to_lower_layers() -> None:
     imports = read_imports()
     upward = {
         (importer, imported)
@@ -108,11 +109,11 @@
     assert upward == set()
 
 
-def test_no_module_imports_itself_by_way_of_others() -> None:
+def test_no_module_imports_itself_through_others() -> None:
     assert circular_imports(read_imports()) == set()
 
 
-def test_the_walk_finds_a_circle_and_an_upward_import() -> None:
+def test_the_check_finds_a_cycle_and_an_upward_import() -> None:
     assert circular_imports({"a": {"b"}, "b": {"c"}, "c": {"a"}, "d": {"a"}}) == {("a", "b"), ("b", "c"), ("c", "a")}
     assert breaks_layers("ingress.decisions.quota", "ingress.ingress")
     assert breaks_layers("ingress.runtime.clock", "ingress.protocols.resp")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of known failures: its form, and that it names tests that there are."""
+"""The list of known failures: its format, and that the listed tests exist."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from .known_red import KNOWN_RED_PATH, MAX_KNOWN_FAILURES, KnownRed, KnownRedError, load_known_red, read_known_red
 
 
-def test_a_line_names_test_cause_and_issue() -> None:
+def test_a_line_names_the_test_the_cause_and_the_issue() -> None:
     assert read_known_red("a.py::test; why; issue 1\n\n") == [KnownRed("a.py::test", "why", "issue 1")]
 
 
 @pytest.mark.parametrize("text", ["a.py::test; why", "a.py::test; ; issue 1", "x; y; z\n" * (MAX_KNOWN_FAILURES + 1)])
-def test_a_list_of_another_form_or_too_long_is_refused(text: str) -> None:
+def test_a_malformed_or_too_long_list_is_rejected(text: str) -> None:
     with pytest.raises(KnownRedError):
         read_known_red(text)
 
 
-def test_each_listed_test_is_there() -> None:
+def test_each_listed_test_exists() -> None:
     for known in load_known_red():
         name, _, rest = known.test.partition("::")
         assert f"def {rest.partition('[')[0]}(" in (KNOWN_RED_PATH.parent / name).read_text(encoding="utf-8")
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The example in the README runs as printed."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 README = Path(__file__).resolve().parent.parent / "README.md"
 
 
-def test_the_example_runs() -> None:
+def test_the_example_in_the_readme_runs() -> None:
     blocks = re.findall(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
     assert len(blocks) == 1
-    names: dict[str, object] = {}
-    exec(compile(blocks[0], str(README), "exec"), names)
-    assert names["actions"]
+    namespace: dict[str, object] = {}
+    exec(compile(blocks[0], str(README), "exec"), namespace)
+    assert namespace["actions"]
