--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -9,36 +9,36 @@
 from tests.conftest import GatewayHarness, started_attempts
 
 
-def fire_drain_timer(play: GatewayHarness, after: float = READINESS_PROPAGATION_DELAY_S) -> list[Action]:
-    return play.handle_after(after, TimerFired(TimerToken.DRAINED))
+def fire_drain_timer(harness: GatewayHarness, after: float = READINESS_PROPAGATION_DELAY_S) -> list[Action]:
+    return harness.handle_after(after, TimerFired(TimerToken.DRAINED))
 
 
 def test_the_load_balancer_is_notified_first_and_clients_are_disconnected_after_it_has_reacted() -> None:
-    play = GatewayHarness()
-    assert play.handle_after(1.0, DrainRequested()) == [
+    harness = GatewayHarness()
+    assert harness.handle_after(1.0, DrainRequested()) == [
         SetReadiness(False),
         SetTimer(READINESS_PROPAGATION_DELAY_S, TimerToken.DRAINED),
     ]
-    assert play.handle_after(0.1, DrainRequested()) == []  # a second request changes nothing
-    [send] = started_attempts(play.send_request(0.1))  # requests that still arrive are admitted
-    play.end_attempt(send)
-    assert fire_drain_timer(play, READINESS_PROPAGATION_DELAY_S) == [CloseIdleClients(True)]
-    assert len(started_attempts(play.send_request(0.1))) == 1
+    assert harness.handle_after(0.1, DrainRequested()) == []  # a second request changes nothing
+    [attempt] = started_attempts(harness.send_request(0.1))  # requests that still arrive are admitted
+    harness.end_attempt(attempt)
+    assert fire_drain_timer(harness, READINESS_PROPAGATION_DELAY_S) == [CloseIdleClients(True)]
+    assert len(started_attempts(harness.send_request(0.1))) == 1
 
 
 def test_a_drain_can_be_cancelled_and_its_timer_has_no_effect_afterwards() -> None:
-    play = GatewayHarness()
-    play.handle_after(1.0, DrainRequested())
-    assert play.handle_after(0.2, DrainRequested(draining=False)) == [SetReadiness(True), CloseIdleClients(False)]
-    assert fire_drain_timer(play, 0.3) == []
-    play.handle_after(0.0, DrainRequested())
-    assert fire_drain_timer(play, 0.1) == []  # the timer of the first drain, not of this one
-    assert fire_drain_timer(play, READINESS_PROPAGATION_DELAY_S - 0.1) == [CloseIdleClients(True)]
+    harness = GatewayHarness()
+    harness.handle_after(1.0, DrainRequested())
+    assert harness.handle_after(0.2, DrainRequested(draining=False)) == [SetReadiness(True), CloseIdleClients(False)]
+    assert fire_drain_timer(harness, 0.3) == []
+    harness.handle_after(0.0, DrainRequested())
+    assert fire_drain_timer(harness, 0.1) == []  # the timer of the first drain, not of this one
+    assert fire_drain_timer(harness, READINESS_PROPAGATION_DELAY_S - 0.1) == [CloseIdleClients(True)]
 
 
 def test_a_drain_before_the_process_exits_cannot_be_cancelled() -> None:
-    play = GatewayHarness()
-    play.handle_after(1.0, DrainRequested())
-    assert play.handle_after(0.1, DrainRequested(process_exits=True)) == []
-    assert play.handle_after(0.1, DrainRequested(draining=False)) == []
-    assert fire_drain_timer(play, READINESS_PROPAGATION_DELAY_S - 0.2) == [CloseIdleClients(True)]
+    harness = GatewayHarness()
+    harness.handle_after(1.0, DrainRequested())
+    assert harness.handle_after(0.1, DrainRequested(process_exits=True)) == []
+    assert harness.handle_after(0.1, DrainRequested(draining=False)) == []
+    assert fire_drain_timer(harness, READINESS_PROPAGATION_DELAY_S - 0.2) == [CloseIdleClients(True)]
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -22,79 +22,79 @@
 UNLIMITED = replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=1e6, burst=1e6),))
 
 
-def send_requests(play: GatewayHarness, latency: float, request_count: int = 200) -> dict[str, int]:
+def send_requests(harness: GatewayHarness, latency: float, request_count: int = 200) -> dict[str, int]:
     """Send requests one by one, each answered after `latency`; return the number of attempts by endpoint."""
     attempt_counts: dict[str, int] = {}
     for _ in range(request_count):
-        for sent in started_attempts(play.send_request(0.01)):
+        for sent in started_attempts(harness.send_request(0.01)):
             attempt_counts[sent.endpoint_id] = attempt_counts.get(sent.endpoint_id, 0) + 1
-            play.end_attempt(sent, Outcome.OK, latency)
+            harness.end_attempt(sent, Outcome.OK, latency)
     return attempt_counts
 
 
 def test_concurrency_limits_start_low_and_grow_with_responses() -> None:
-    play = GatewayHarness(UNLIMITED)
+    harness = GatewayHarness(UNLIMITED)
     for _ in range(100):
-        play.send_request(0.0)
-    assert len(started_attempts(play.actions)) <= len(FLEET)
-    for sent in started_attempts(list(play.actions)):
-        play.end_attempt(sent, Outcome.OK, 0.01)
-    assert len(started_attempts([a for _ in range(100) for a in play.send_request(0.0)])) > len(FLEET) / 2
+        harness.send_request(0.0)
+    assert len(started_attempts(harness.actions)) <= len(FLEET)
+    for sent in started_attempts(list(harness.actions)):
+        harness.end_attempt(sent, Outcome.OK, 0.01)
+    assert len(started_attempts([a for _ in range(100) for a in harness.send_request(0.0)])) > len(FLEET) / 2
 
 
 def test_old_attempts_reduce_the_concurrency_limit_without_any_response() -> None:
-    play = GatewayHarness(UNLIMITED)
-    send_requests(play, 0.05)
-    for endpoint in play.gateway.cluster.endpoints.by_id.values():
+    harness = GatewayHarness(UNLIMITED)
+    send_requests(harness, 0.05)
+    for endpoint in harness.gateway.cluster.endpoints.by_id.values():
         endpoint.concurrency_limit = 20.0
     for _ in range(40):
-        play.send_request(0.0)
-    before = sum(s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values())
+        harness.send_request(0.0)
+    before = sum(s.concurrency_limit for s in harness.gateway.cluster.endpoints.by_id.values())
     for _ in range(20):
-        play.send_request(0.5)
-    assert sum(s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values()) < before / 2
+        harness.send_request(0.5)
+    assert sum(s.concurrency_limit for s in harness.gateway.cluster.endpoints.by_id.values()) < before / 2
 
 
 def test_an_unresponsive_endpoint_gets_no_new_attempts() -> None:
-    play = GatewayHarness(UNLIMITED)
-    send_requests(play, 0.05)
-    unresponsive = started_attempts(play.send_request(0.0))[0].endpoint_id
-    play.now += 0.5
-    assert unresponsive not in send_requests(play, 0.01, 40)
+    harness = GatewayHarness(UNLIMITED)
+    send_requests(harness, 0.05)
+    unresponsive = started_attempts(harness.send_request(0.0))[0].endpoint_id
+    harness.now += 0.5
+    assert unresponsive not in send_requests(harness, 0.01, 40)
 
 
 def test_a_slow_endpoint_gets_fewer_attempts() -> None:
-    play = GatewayHarness(UNLIMITED)
+    harness = GatewayHarness(UNLIMITED)
     attempt_counts: dict[str, int] = {}
     for _ in range(300):
-        for sent in started_attempts(play.send_request(0.02)):
+        for sent in started_attempts(harness.send_request(0.02)):
             attempt_counts[sent.endpoint_id] = attempt_counts.get(sent.endpoint_id, 0) + 1
-            play.end_attempt(sent, Outcome.OK, 0.3 if sent.endpoint_id == "b1" else 0.05)
+            harness.end_attempt(sent, Outcome.OK, 0.3 if sent.endpoint_id == "b1" else 0.05)
     assert attempt_counts["b1"] < min(attempt_counts[b] for b in ("b0", "b2", "b3")) / 2
 
 
 def test_open_attempts_cause_load_shedding_before_any_response() -> None:
-    play = GatewayHarness(
+    harness = GatewayHarness(
         replace(SETTINGS, gateway_count=300, plans=(replace(BASIC_PLAN, rate=1e4, burst=1e5),)),
         (Endpoint(f"b{n}") for n in range(80)),
     )
-    sent = sum(len(started_attempts(play.send_request(0.3))) for _ in range(40))
+    sent = sum(len(started_attempts(harness.send_request(0.3))) for _ in range(40))
     assert sent < 30  # no response arrived: only the open attempts indicate congestion, at most one at each endpoint
-    play.now += 30.0
-    assert started_attempts(play.send_request())  # attempts are sent again
+    harness.now += 30.0
+    assert started_attempts(harness.send_request())  # attempts are sent again
 
 
 def test_a_few_endpoints_that_never_respond_are_no_congestion() -> None:
-    play = GatewayHarness(
+    harness = GatewayHarness(
         replace(SETTINGS, gateway_count=300, plans=(replace(BASIC_PLAN, rate=1e4, burst=1e5),)),
         (Endpoint(f"b{n}") for n in range(80)),
     )
     sent_count = 0
     for _ in range(200):
-        for sent in started_attempts(play.send_request(0.2)):
+        for sent in started_attempts(harness.send_request(0.2)):
             sent_count += 1
             if int(sent.endpoint_id[1:]) >= 8:
-                play.end_attempt(sent, Outcome.OK, 0.1)
+                harness.end_attempt(sent, Outcome.OK, 0.1)
     assert sent_count > 180
 
 
@@ -111,8 +111,8 @@
 
 
 def test_a_gateway_without_endpoints_in_its_zone_uses_another_zone() -> None:
-    play = GatewayHarness(replace(UNLIMITED, zone="c"), fleet=(Endpoint("x", "a"),))
-    assert started_attempts(play.send_request())
+    harness = GatewayHarness(replace(UNLIMITED, zone="c"), fleet=(Endpoint("x", "a"),))
+    assert started_attempts(harness.send_request())
 
 
 def test_subsets_are_stable_and_cover_the_endpoints_evenly() -> None:
@@ -133,11 +133,11 @@
 
 
 def test_other_endpoints_are_used_while_the_complete_subset_is_paused() -> None:
-    play = GatewayHarness(UNLIMITED, (Endpoint(f"b{n}") for n in range(40)))
-    preferred = list(play.gateway.cluster.endpoints.preferred)
+    harness = GatewayHarness(UNLIMITED, (Endpoint(f"b{n}") for n in range(40)))
+    preferred = list(harness.gateway.cluster.endpoints.preferred)
     for endpoint in preferred:
-        endpoint.health.paused_until = play.now + 60.0  # as if each had rejected attempts
-    sent = started_attempts(play.send_request(0.01))
+        endpoint.health.paused_until = harness.now + 60.0  # as if each had rejected attempts
+    sent = started_attempts(harness.send_request(0.01))
     assert sent
     assert sent[0].endpoint_id not in {s.info.id for s in preferred}
 
@@ -145,47 +145,49 @@
 HEDGING = replace(SETTINGS, hedging_allowed=True, cancellation_allowed=True)
 
 
-def hedge_of_unanswered_request(play: GatewayHarness) -> StartAttempt:
+def hedge_of_unanswered_request(harness: GatewayHarness) -> StartAttempt:
     """Send a request whose first attempt gets no response, and return its hedge."""
-    first = started_attempts(play.send_request())[0]
+    first = started_attempts(harness.send_request())[0]
     hedges = started_attempts(
-        play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+        harness.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
     )
     assert len(hedges) == 1 and hedges[0].request_id == first.request_id and hedges[0].endpoint_id != first.endpoint_id
     return hedges[0]
 
 
 def test_an_attempt_without_a_response_gets_a_hedge() -> None:
-    play = GatewayHarness(HEDGING)
-    play.gateway.forwarder.retry_budget.level = 5.0
-    hedge = hedge_of_unanswered_request(play)
-    actions = play.end_attempt(hedge, attempt=1)
-    assert actions == [CancelAttempt(hedge.request_id, 0)] and play.gateway.forwarder.retry_budget.level < 5.0
+    harness = GatewayHarness(HEDGING)
+    harness.gateway.forwarder.retry_budget.level = 5.0
+    hedge = hedge_of_unanswered_request(harness)
+    actions = harness.end_attempt(hedge, attempt=1)
+    assert actions == [CancelAttempt(hedge.request_id, 0)] and harness.gateway.forwarder.retry_budget.level < 5.0
 
 
 def test_no_hedge_is_sent_after_a_response_or_where_hedging_is_not_allowed() -> None:
-    play = GatewayHarness(HEDGING)
-    play.end_attempt(started_attempts(play.send_request())[0])
+    harness = GatewayHarness(HEDGING)
+    harness.end_attempt(started_attempts(harness.send_request())[0])
     assert (
-        play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE)) == []
-        and not play.gateway.forwarder.hedging.candidates
+        harness.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE)) == []
+        and not harness.gateway.forwarder.hedging.candidates
     )
-    play = GatewayHarness()
-    assert started_attempts(play.send_request())
-    assert TimerToken.HEDGE not in [a.token for a in play.actions if isinstance(a, SetTimer)]
+    harness = GatewayHarness()
+    assert started_attempts(harness.send_request())
+    assert TimerToken.HEDGE not in [a.token for a in harness.actions if isinstance(a, SetTimer)]
 
 
 @pytest.mark.parametrize(("win_rate", "count"), [(0.0, 0), (1.0, 1)])
 def test_hedges_with_a_low_win_rate_need_more_spare_capacity(win_rate: float, count: int) -> None:
-    play = GatewayHarness(HEDGING)
-    play.gateway.forwarder.retry_budget.level = 5.0
-    play.gateway.forwarder.hedging.win_rate = win_rate
-    play.gateway.cluster.load_shedder.saturation = lambda now: HEDGE_MAX_SATURATION / 2  # type: ignore[method-assign]
-    assert started_attempts(play.send_request())
+    harness = GatewayHarness(HEDGING)
+    harness.gateway.forwarder.retry_budget.level = 5.0
+    harness.gateway.forwarder.hedging.win_rate = win_rate
+    harness.gateway.cluster.load_shedder.saturation = lambda now: HEDGE_MAX_SATURATION / 2  # type: ignore[method-assign]
+    assert started_attempts(harness.send_request())
     assert (
         len(
             started_attempts(
-                play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+                harness.handle_after(
+                    HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE)
+                )
             )
         )
         == count
@@ -193,20 +195,20 @@
 
 
 def test_the_hedge_win_rate_follows_which_attempt_responds_first() -> None:
-    play = GatewayHarness(HEDGING)
-    play.gateway.forwarder.retry_budget.level = 5.0
-    first = started_attempts(play.send_request())[0]
+    harness = GatewayHarness(HEDGING)
+    harness.gateway.forwarder.retry_budget.level = 5.0
+    first = started_attempts(harness.send_request())[0]
     hedge = started_attempts(
-        play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+        harness.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
     )[0]
-    play.end_attempt(hedge, attempt=1)
-    play.end_attempt(first, Outcome.CANCELLED, request_finished=True)
-    assert play.gateway.forwarder.hedging.win_rate > 0.5
-    win_rate = play.gateway.forwarder.hedging.win_rate
-    first = started_attempts(play.send_request())[0]
-    play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
-    play.end_attempt(first, attempt=0)
-    assert play.gateway.forwarder.hedging.win_rate < win_rate
+    harness.end_attempt(hedge, attempt=1)
+    harness.end_attempt(first, Outcome.CANCELLED, request_finished=True)
+    assert harness.gateway.forwarder.hedging.win_rate > 0.5
+    win_rate = harness.gateway.forwarder.hedging.win_rate
+    first = started_attempts(harness.send_request())[0]
+    harness.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective, TimerFired(TimerToken.HEDGE))
+    harness.end_attempt(first, attempt=0)
+    assert harness.gateway.forwarder.hedging.win_rate < win_rate
 
 
 def make_gateways(gateway_count: int, endpoint_ids: list[str]) -> list[Gateway]:
@@ -261,15 +263,15 @@
 @settings(max_examples=200, deadline=None)
 @given(steps=st.lists(st.tuples(st.integers(0, 5), st.integers(0, 30), st.floats(0.0, 1.5)), max_size=60))
 def test_incremental_totals_equal_the_sums_over_ready_endpoints(steps: list[tuple[int, int, float]]) -> None:
-    play = GatewayHarness()
+    harness = GatewayHarness()
     open_attempts: list[StartAttempt] = []
     for kind, pick, after in steps:
         if kind < 2:
-            open_attempts += started_attempts(play.send_request(after, customer=f"c{pick}"))
+            open_attempts += started_attempts(harness.send_request(after, customer=f"c{pick}"))
         elif kind < 4 and open_attempts:
-            send = open_attempts.pop(pick % len(open_attempts))
-            play.end_attempt(
-                send,
+            attempt = open_attempts.pop(pick % len(open_attempts))
+            harness.end_attempt(
+                attempt,
                 (Outcome.OK, Outcome.REJECTED, Outcome.TIMEOUT, Outcome.RESET)[pick % 4],
                 after,
                 request_finished=True,
@@ -279,11 +281,11 @@
                 replace(
                     info,
                     readiness=Readiness.DRAINING if pick >> n & 1 else Readiness.READY,
-                    started_at=play.now if kind == 5 and pick >> n & 2 else info.started_at,
+                    started_at=harness.now if kind == 5 and pick >> n & 2 else info.started_at,
                 )
                 for n, info in enumerate(FLEET)
             )
-            play.handle_after(after, EndpointsChanged(EndpointListKind.UPDATE, listed))
-        fleet = play.gateway.cluster.endpoints
+            harness.handle_after(after, EndpointsChanged(EndpointListKind.UPDATE, listed))
+        fleet = harness.gateway.cluster.endpoints
         assert fleet.totals.in_flight == sum(len(s.in_flight) for s in fleet.ready)
         assert fleet.totals.concurrency_limits == pytest.approx(sum(s.concurrency_limit for s in fleet.ready))
--- a/tests/test_net_bad_peers.py
+++ b/tests/test_net_bad_peers.py
@@ -86,8 +86,8 @@
     async def body() -> None:
         async with duplicating_endpoint(delay)[0] as peer, launched(tmp_path, endpoint_entry(peer.address)) as program:
             await program.ready()
-            caller = await RespClient.connect(program.address)
-            answers = [(b"%016x" % n, await caller.request(command(f"{n:016x}"))) for n in range(20)]
+            client = await RespClient.connect(program.address)
+            answers = [(b"%016x" % n, await client.request(command(f"{n:016x}"))) for n in range(20)]
             wrong = [(asked, answer) for asked, answer in answers if isinstance(answer, bytes) and answer != asked]
             assert not wrong, f"{len(wrong)} of 20 requests: {wrong[:3]}"
             assert sum(asked == answer for asked, answer in answers) >= 10
@@ -107,10 +107,10 @@
 
             async def ask(number: int) -> None:
                 nonlocal served
-                caller = await RespClient.connect(program.address)
+                client = await RespClient.connect(program.address)
                 for n in range(8):
                     asked = f"{number:08x}{n:08x}"
-                    answer = await caller.request(command(asked, customer=number))
+                    answer = await client.request(command(asked, customer=number))
                     served += answer == asked.encode()
                     if isinstance(answer, bytes) and answer != asked.encode():
                         wrong.append((asked.encode(), answer))
@@ -130,8 +130,8 @@
         peer, executions = duplicating_endpoint(delay, b"-BUSY\r\n")
         async with peer, launched(tmp_path, endpoint_entry(peer.address), settings=UNSAFE) as program:
             await program.ready()
-            caller = await RespClient.connect(program.address)
-            answers = [(b"%016x" % n, await caller.request(command(f"{n:016x}", "pay"))) for n in range(30)]
+            client = await RespClient.connect(program.address)
+            answers = [(b"%016x" % n, await client.request(command(f"{n:016x}", "pay"))) for n in range(30)]
             refused = [asked for asked, answer in answers if str(answer).startswith("BUSY")]
             wrong = [asked for asked in refused if executions[asked]]
             assert not wrong, f"{len(wrong)} of {len(refused)} refused requests were executed: {wrong[:3]}"
@@ -225,14 +225,14 @@
             scripted_endpoint(*[answer] * 9, then=then) as peer,
             running_ingress(config(*eight_endpoints(peer), settings=UNSAFE)) as (served, address),
         ):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             started_at = time.monotonic()
-            caller.writer.write(command("one", "pay", d=400))
+            client.writer.write(command("one", "pay", d=400))
             if answer.startswith(b"*3\r\n$70000\r\n"):  # The client notices that the value is incomplete.
                 with pytest.raises((EOFError, ConnectionError, hiredis.ProtocolError)):
-                    pytest.fail(f"served: {len(await caller.read_answer())} bytes")
+                    pytest.fail(f"served: {len(await client.read_answer())} bytes")
             else:
-                assert str(await caller.read_answer()) == "ERR failed"
+                assert str(await client.read_answer()) == "ERR failed"
             assert time.monotonic() - started_at < 1.5
             await wait_until(lambda: not served.requests.in_flight and not served.requests.attempts_in_flight)
             assert [words[2] for words in peer.commands] == [b"one"]
@@ -254,8 +254,8 @@
 
         async with Peer(script) as peer, launched(tmp_path, endpoint_entry(peer.address), settings=UNSAFE) as program:
             await program.ready()
-            caller = await RespClient.connect(program.address)
-            answers = [await caller.request(command(f"{n}", "pay")) for n in range(10)]
+            client = await RespClient.connect(program.address)
+            answers = [await client.request(command(f"{n}", "pay")) for n in range(10)]
             assert all(isinstance(answer, hiredis.ReplyError) for answer in answers), answers
 
     run_async(body())
@@ -281,8 +281,8 @@
 
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
-            caller = await RespClient.connect(address)
-            assert await caller.request(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
+            client = await RespClient.connect(address)
+            assert await client.request(resp(b"API.READ", b"%016x" % 7, b"one", names)) == b"one"
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
         run_async(body())
@@ -311,8 +311,8 @@
             scripted_endpoint(refusal) as peer,
             running_ingress(config(*eight_endpoints(peer), settings=UNSAFE)) as (_, address),
         ):
-            caller = await RespClient.connect(address)
-            assert await caller.request(command("one", "pay")) == b"one"
+            client = await RespClient.connect(address)
+            assert await client.request(command("one", "pay")) == b"one"
             assert [words[2] for words in peer.commands] == [b"one"] * 2
 
     with caplog.at_level(logging.INFO, REQUESTS.name):
@@ -336,9 +336,9 @@
                     )
                 ) as (_, address),
             ):
-                caller = await RespClient.connect(address)
+                client = await RespClient.connect(address)
                 for n in range(12):
-                    answer = await caller.request(command(f"{n}", "pay"))
+                    answer = await client.request(command(f"{n}", "pay"))
                     assert answer == b"%d" % n or str(answer).startswith("BUSY"), answer
                 assert max(Counter(words[2] for words in peer.commands).values()) == 1
 
@@ -366,12 +366,12 @@
             Peer(script) as peer,
             running_ingress(config(endpoint_entry(peer.address), settings=UNSAFE)) as (_, address),
         ):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             own_answers = 0
             for n in range(3):
-                caller.writer.write(command("late", "pay", d=250))
-                assert isinstance(await caller.read_answer(), hiredis.ReplyError)
-                answer = await caller.request(command(f"{n}", "pay"))
+                client.writer.write(command("late", "pay", d=250))
+                assert isinstance(await client.read_answer(), hiredis.ReplyError)
+                answer = await client.request(command(f"{n}", "pay"))
                 assert answer == b"%d" % n or str(answer).startswith("BUSY"), answer
                 own_answers += answer == b"%d" % n
             assert own_answers
@@ -497,11 +497,11 @@
 
             async def steady() -> None:
                 nonlocal asked, slowest
-                caller = await RespClient.connect(program.address)
+                client = await RespClient.connect(program.address)
                 while not over.is_set():
                     sent_at = time.monotonic()
                     asked += 1
-                    assert await caller.request(command(f"good{asked}")) == b"good%d" % asked
+                    assert await client.request(command(f"good{asked}")) == b"good%d" % asked
                     slowest = max(slowest, time.monotonic() - sent_at)
                     await asyncio.sleep(0.02)
 
@@ -549,8 +549,8 @@
                 )
             assert not {name: one for name, one in times.items() if isinstance(one, BaseException)}
             assert not peer.commands
-            caller = await RespClient.connect(program.address)
-            assert await caller.request(command()) == b"00000000000000aa"
+            client = await RespClient.connect(program.address)
+            assert await client.request(command()) == b"00000000000000aa"
             check_no_traceback(program)
 
     run_async(body())
@@ -591,8 +591,8 @@
                 *(asyncio.wait_for(time_to_reject(program.address, data), 8.0) for data in [b"", b"*4\r\n"] * 150)
             )
             assert max(times) < REJECT_TIMEOUT_S
-            caller = await RespClient.connect(program.address)
-            assert await caller.request(command()) == b"00000000000000aa"
+            client = await RespClient.connect(program.address)
+            assert await client.request(command()) == b"00000000000000aa"
 
     run_async(body())
 
@@ -621,8 +621,8 @@
 
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
-            caller = await RespClient.connect(address)
-            assert str(await caller.request(resp(*words))).startswith("ERR ")
+            client = await RespClient.connect(address)
+            assert str(await client.request(resp(*words))).startswith("ERR ")
             assert not peer.commands
 
     run_async(body())
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -106,8 +106,8 @@
             held = Counter(c.peer for c in served.clients.connections)
             assert held["127.0.0.1"] <= 30 and len(served.clients.connections) <= 60
             assert served.clients.shares.total == len(served.clients.connections)
-            for caller in flood:
-                caller.writer.close()
+            for client in flood:
+                client.writer.close()
 
     run_async(body())
 
@@ -121,8 +121,8 @@
             first = await from_address("127.0.3.1", address)
             assert await first.request(PING) == b"PONG"
             busy = [await from_address("127.0.0.1", address) for _ in range(10)]
-            for n, caller in enumerate(busy):  # each waits for an answer, so none is idle
-                caller.writer.write(command(f"{n}", d=20_000))
+            for n, client in enumerate(busy):  # each waits for an answer, so none is idle
+                client.writer.write(command(f"{n}", d=20_000))
             await wait_until(lambda: len(served.requests.in_flight) == 10)
             extra = await from_address("127.0.0.1", address)
             with pytest.raises((EOFError, ConnectionError)):
@@ -141,8 +141,8 @@
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.clients.resize(40)
             served.clients.shares.guaranteed = 10
-            callers = [await from_address("127.0.0.1", address) for _ in range(38)]
-            assert [await caller.request(PING) for caller in callers] == [b"PONG"] * 38
+            clients = [await from_address("127.0.0.1", address) for _ in range(38)]
+            assert [await client.request(PING) for client in clients] == [b"PONG"] * 38
             assert served.clients.rejected_count == 0
 
     run_async(body())
@@ -448,17 +448,17 @@
 def test_client_connections_enable_keepalive() -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
-            caller = await RespClient.connect(address)
-            assert await caller.request(PING) == b"PONG"
-            [client] = served.clients.connections
+            client = await RespClient.connect(address)
+            assert await client.request(PING) == b"PONG"
+            [connection] = served.clients.connections
             options = {
                 socket.TCP_USER_TIMEOUT: int(sockets.UNACKNOWLEDGED_TIMEOUT_S * 1000),
                 socket.TCP_KEEPIDLE: sockets.KEEPALIVE_IDLE_S,
                 socket.TCP_KEEPINTVL: sockets.KEEPALIVE_INTERVAL_S,
                 socket.TCP_KEEPCNT: sockets.KEEPALIVE_PROBES,
             }
-            assert {key: client.socket.getsockopt(socket.IPPROTO_TCP, key) for key in options} == options
-            assert client.socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
+            assert {key: connection.socket.getsockopt(socket.IPPROTO_TCP, key) for key in options} == options
+            assert connection.socket.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
 
     run_async(body())
 
@@ -477,10 +477,10 @@
 
         monkeypatch.setattr(sockets.enable_keepalive, "__defaults__", (0.3,))
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
-            caller = await RespClient.connect(address)
-            caller.writer.write(command(d=10_000))
+            client = await RespClient.connect(address)
+            client.writer.write(command(d=10_000))
             await wait_until(lambda: served.requests.in_flight)
-            drop_all(caller.writer.get_extra_info("socket"))
+            drop_all(client.writer.get_extra_info("socket"))
             go.set()  # the answer is sent and never acknowledged
             await wait_until(lambda: not served.clients.connections)
             assert not served.requests.in_flight
@@ -548,17 +548,17 @@
         ):
             for fresh in (False, True):  # on an accepted connection, and on one in the backlog
                 sock = socket.create_connection(address)
-                caller = RespClient(*await asyncio.open_connection(sock=sock)) if not fresh else None
-                if caller is not None:
-                    assert await caller.request(resp(b"PING")) == b"PONG"
+                client = RespClient(*await asyncio.open_connection(sock=sock)) if not fresh else None
+                if client is not None:
+                    assert await client.request(resp(b"PING")) == b"PONG"
                 started_at = time.monotonic()
                 sock.send(command(d=1500))
                 time.sleep(1.0)  # the event loop is blocked
-                caller = caller or RespClient(*await asyncio.open_connection(sock=sock))
-                answer = await caller.read_answer()
+                client = client or RespClient(*await asyncio.open_connection(sock=sock))
+                answer = await client.read_answer()
                 assert isinstance(answer, hiredis.ReplyError)
                 assert 1.0 < time.monotonic() - started_at < 2.2, "2.5 s if measured from the time of reading"
-                caller.writer.close()
+                client.writer.close()
             assert served.metrics.requests_in_flight == 0
 
     run_async(body())
--- a/tests/test_net_control.py
+++ b/tests/test_net_control.py
@@ -75,7 +75,7 @@
             sock.setblocking(False)
             sock.send(b"show-stat\n")
             assert served.admin_server is not None
-            await wait_until(lambda: any(caller.has_command for caller in served.admin_server.connections))  # type: ignore[union-attr]
+            await wait_until(lambda: any(client.has_command for client in served.admin_server.connections))  # type: ignore[union-attr]
             sock.send(b"x" * 1000)
             answer = b""
             while data := await loop.sock_recv(sock, 100):
@@ -187,16 +187,16 @@
             peer,
             running_ingress(config(endpoint_entry(peer.address), control=ADMIN_LISTEN)) as (served, address),
         ):
-            caller = await RespClient.connect(address)
-            caller.writer.write(command("one"))
+            client = await RespClient.connect(address)
+            client.writer.write(command("one"))
             await wait_until(lambda: peer.commands)
             await admin_call(served, b"drain")
             await served.shutdown.clients_may_close.wait()
-            caller.writer.write(command("two"))
+            client.writer.write(command("two"))
             answer.set()
-            assert await caller.read_answer() == b"one"
+            assert await client.read_answer() == b"one"
             with pytest.raises(EOFError):
-                await caller.read_answer()
+                await client.read_answer()
             assert served.requests.received_count == 1
 
     peer = Peer(script)
--- a/tests/test_net_descriptors.py
+++ b/tests/test_net_descriptors.py
@@ -222,9 +222,9 @@
                     assert time.monotonic() - started_at < LIST_TIMEOUT_S, now
                     max_open = max(max_open, descriptor_count(program))
                     await asyncio.sleep(0.02)
-                caller = RespClient(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
+                client = RespClient(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
                 try:
-                    assert await asyncio.wait_for(caller.request(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
+                    assert await asyncio.wait_for(client.request(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
                 except TimeoutError:
                     pytest.fail(f"a new client got no answer in {SERVE_TIMEOUT_S} s: {await read_metrics(program)}")
                 assert [words[2] for words in endpoint.commands] == [b"00000000000000aa"]
@@ -239,8 +239,8 @@
                 for task in reconnecting:
                     task.cancel()
                 await asyncio.gather(*reconnecting, return_exceptions=True)
-                for caller in silent:
-                    caller.writer.close()
+                for client in silent:
+                    client.writer.close()
                 idle.close()
             check_no_traceback(program)
 
@@ -268,11 +268,11 @@
             try:
                 for number in range(CLIENT_COUNT):
                     await idle.connect(number)
-                caller = RespClient(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
-                assert await asyncio.wait_for(caller.request(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
+                client = RespClient(*await asyncio.open_connection(*program.address, local_addr=("127.0.1.9", 0)))
+                assert await asyncio.wait_for(client.request(command()), SERVE_TIMEOUT_S) == b"00000000000000aa"
                 metrics = await read_metrics(program)
                 assert metrics["no_descriptor"] == 0 and descriptor_count(program) < soft, metrics
-                caller.writer.close()
+                client.writer.close()
             finally:
                 idle.close()
             check_no_traceback(program)
--- a/tests/test_net_figures.py
+++ b/tests/test_net_figures.py
@@ -63,9 +63,9 @@
             running_ingress(config(endpoint_entry(peer.address), control=ADMIN_LISTEN)) as (served, address),
         ):
             served.gateway.handle = StubGateway(plan).handle  # type: ignore[method-assign]
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             for name in ("served", "refused", "failed", "expired"):
-                await caller.request(command(name, d=100 if name == "expired" else 2000))
+                await client.request(command(name, d=100 if name == "expired" else 2000))
             disconnecting = await RespClient.connect(address)
             disconnecting.writer.write(command("gone"))
             await wait_until(lambda: served.metrics.attempts_sent == 2)
@@ -74,7 +74,7 @@
             disconnecting.writer.close()
             await wait_until(lambda: not served.requests.in_flight)
             override_config(served, max_open_requests=0)
-            await caller.request(command("too many"))
+            await client.request(command("too many"))
             shown = {
                 name: count
                 for name, count in (await read_metrics(served)).items()
@@ -114,10 +114,10 @@
                 config(endpoint_entry(peer.address), endpoint_entry(("127.0.0.1", 1), "s2"), control=ADMIN_LISTEN)
             ) as (served, address),
         ):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             async with asyncio.timeout(10):
                 while (await read_metrics(served))["ejected"] != 1:
-                    await caller.request(command())
+                    await client.request(command())
             assert (await read_metrics(served))["discovered"] == 2
 
     run_async(body())
--- a/tests/test_net_gone.py
+++ b/tests/test_net_gone.py
@@ -72,12 +72,12 @@
 
 async def warm(served: Ingress, address: Address, count: int = 1) -> None:
     """Open `count` connections to the endpoint and leave them idle."""
-    callers = [await RespClient.connect(address) for _ in range(count)]
-    for caller in callers:
-        caller.writer.write(command("warm"))
-    for caller in callers:
-        await caller.read_answer()
-        caller.writer.close()
+    clients = [await RespClient.connect(address) for _ in range(count)]
+    for client in clients:
+        client.writer.write(command("warm"))
+    for client in clients:
+        await client.read_answer()
+        client.writer.close()
     await wait_until(lambda: not served.clients.connections)
 
 
@@ -100,8 +100,8 @@
             disconnect(client)
             gate.open.set()
             await wait_until(lambda: not served.requests.in_flight and not served.pool.connecting)
-            caller = await RespClient.connect(address)
-            assert await caller.request(command("after")) == b"after"
+            next_client = await RespClient.connect(address)
+            assert await next_client.request(command("after")) == b"after"
             assert [words[2] for words in peer.commands] == [b"after"]
             # The disconnect is noticed even if reading was paused.
             await wait_until(lambda: len(served.clients.connections) == 1)
@@ -246,10 +246,10 @@
             ) as (served, address),
         ):
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            await caller.request(command("warm"))
+            client = await RespClient.connect(address)
+            await client.request(command("warm"))
             gate = gate_connects(served)
-            assert await caller.request(command("both")) == b"both"
+            assert await client.request(command("both")) == b"both"
             assert gate.waiting == 1
             gate.open.set()
             await wait_until(lambda: not served.pool.connecting and not served.requests.attempts_in_flight)
@@ -315,12 +315,12 @@
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = stub  # type: ignore[assignment]
             gate = gate_connects(served)
-            caller = await RespClient.connect(address)
-            caller.writer.write(command("late", cls="order"))
+            client = await RespClient.connect(address)
+            client.writer.write(command("late", cls="order"))
             await wait_until(lambda: gate.waiting)
             await asyncio.sleep(0.06)
             gate.open.set()
-            assert "failed" in str(await caller.read_answer())
+            assert "failed" in str(await client.read_answer())
             assert not peer.commands
 
     run_async(body())
@@ -332,10 +332,10 @@
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(b"".join(command(f"r{n}") for n in range(3 * client_connection.MAX_PIPELINED)))
+            client = await RespClient.connect(address)
+            client.writer.write(b"".join(command(f"r{n}") for n in range(3 * client_connection.MAX_PIPELINED)))
             for n in range(3 * client_connection.MAX_PIPELINED):
-                assert await caller.read_answer() == b"r%d" % n
+                assert await client.read_answer() == b"r%d" % n
 
     run_async(body())
 
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -110,18 +110,18 @@
                 endpoint_entry(failing.address, "bad")
             ]
             async with running_ingress(config(*entries, control=ADMIN_LISTEN, settings=PROBING)) as (served, address):
-                caller = await RespClient.connect(address)
+                client = await RespClient.connect(address)
                 health = served.gateway.cluster.endpoints.by_id["bad"].health
                 is_failing.set()
                 while not served.gateway.health()["ejections"]:
-                    await caller.request(command())
+                    await client.request(command())
                 shown = await read_metrics(served)
                 assert shown["health.ejected"] == shown["ejected"] == 1
                 assert shown["ejections.error"] == 1 and shown["health.healthy"] == 3
                 is_failing.clear()
                 health.next_health_check_at = 0.0  # the next health check is due now
                 while health.status.value != "healthy":
-                    await caller.request(command())
+                    await client.request(command())
                     await asyncio.sleep(0.002)
                 shown = await read_metrics(served)
                 assert shown["probes"] == pings >= 1 and shown["ejected"] == 0
@@ -182,8 +182,8 @@
             stub = StubGateway(lambda e: [StartAttempt(e.request_id, "s1")] if isinstance(e, RequestReceived) else [])
             served.gateway.handle = stub.handle  # type: ignore[method-assign]
             served.pool.max_connections = 0
-            caller = await RespClient.connect(address)
-            caller.writer.write(command(d=300))
+            client = await RespClient.connect(address)
+            client.writer.write(command(d=300))
             await wait_until(lambda: stub.of(AttemptEnded))
             [ended] = stub.of(AttemptEnded)
             assert ended.local_failure and ended.outcome is Outcome.CONNECT_FAILED
@@ -201,10 +201,10 @@
 
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             for number in range(20):
                 name = f"request-{number}"
-                assert await caller.request(command(name)) == name.encode()
+                assert await client.request(command(name)) == name.encode()
 
     run_async(body())
 
--- a/tests/test_net_ingress.py
+++ b/tests/test_net_ingress.py
@@ -81,12 +81,12 @@
 def test_ping_select_and_client_are_answered() -> None:
     async def body() -> None:
         async with running_ingress(config()) as (_, address):
-            caller = await RespClient.connect(address)
-            caller.writer.write(resp(b"PING"))
-            assert await caller.reader.readexactly(7) == b"+PONG\r\n"
-            assert await caller.request(resp(b"SELECT", b"0")) == b"OK"
-            assert await caller.request(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
-            assert str(await caller.request(resp(b"HELLO", b"3"))).startswith("ERR")
+            client = await RespClient.connect(address)
+            client.writer.write(resp(b"PING"))
+            assert await client.reader.readexactly(7) == b"+PONG\r\n"
+            assert await client.request(resp(b"SELECT", b"0")) == b"OK"
+            assert await client.request(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
+            assert str(await client.request(resp(b"HELLO", b"3"))).startswith("ERR")
 
     run_async(body())
 
@@ -99,16 +99,16 @@
         writer.write(endpoint_answer(words[4]))
         await reader.read()
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
-            caller = await RespClient.connect(address)
-            assert await caller.request(command(cls="order", body=body)) == body
+            client = await RespClient.connect(address)
+            assert await client.request(command(cls="order", body=body)) == body
             [words] = peer.commands
             assert words[0] == b"API.WRITE" and words[1] == b"%016x" % 7
             assert b"k=0123456789abcdef" in words[3].split(b",")
 
     peer = Peer(script)
-    run_async(play())
+    run_async(scenario())
 
 
 def test_responses_keep_the_order_of_the_commands() -> None:
@@ -124,9 +124,9 @@
     async def body() -> None:
         async with peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
-            assert [await caller.read_answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
+            client = await RespClient.connect(address)
+            client.writer.write(command("slow") + command("quick") + resp(b"PING"))
+            assert [await client.read_answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
 
     peer = Peer(script)
     run_async(body())
@@ -158,11 +158,11 @@
 ) -> None:
     async def body() -> None:
         async with running_ingress(config()) as (_, address):
-            caller = await RespClient.connect(address)
-            answer = await caller.request(data)
+            client = await RespClient.connect(address)
+            answer = await client.request(data)
             assert isinstance(answer, hiredis.ReplyError)
             assert str(answer).startswith("ERR ") and reason in str(answer)
-            assert await caller.request(resp(b"PING")) == b"PONG"
+            assert await client.request(resp(b"PING")) == b"PONG"
 
     with caplog.at_level(logging.WARNING):
         run_async(body())
@@ -192,12 +192,12 @@
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             ingresses.append(served)
-            caller = await RespClient.connect(address)
-            caller.writer.write(command() + data)
-            assert await caller.read_answer() == b"served"
-            assert str(await caller.read_answer()).startswith("ERR ")
+            client = await RespClient.connect(address)
+            client.writer.write(command() + data)
+            assert await client.read_answer() == b"served"
+            assert str(await client.read_answer()).startswith("ERR ")
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.read_answer()
+                await client.read_answer()
 
     run_async(body())
 
@@ -205,10 +205,10 @@
 def test_a_frame_that_declares_a_billion_elements_does_not_stall_the_event_loop() -> None:
     async def body() -> None:
         async with running_ingress(config()) as (_, address):
-            caller = await RespClient.connect(address)
-            assert "too many words" in str(await caller.request(b"*1000000000\r\n"))
+            client = await RespClient.connect(address)
+            assert "too many words" in str(await client.request(b"*1000000000\r\n"))
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.read_answer()
+                await client.read_answer()
 
     run_async(body())
 
@@ -227,17 +227,17 @@
 def test_too_many_declared_elements_are_rejected_wherever_they_occur(pieces: list[bytes]) -> None:
     async def body() -> None:
         async with running_ingress(config()) as (served, address):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             await wait_until(lambda: served.clients.connections)
-            [client] = served.clients.connections
-            await wait_until(lambda: client.transport)
+            [connection] = served.clients.connections
+            await wait_until(lambda: connection.transport)
             for piece in pieces:
-                client.data_received(piece)
+                connection.data_received(piece)
             if b"PING" in pieces[0]:
-                assert await caller.read_answer() == b"*1"
-            assert "too many words" in str(await caller.read_answer())
+                assert await client.read_answer() == b"*1"
+            assert "too many words" in str(await client.read_answer())
             with pytest.raises(EOFError):
-                await caller.read_answer()
+                await client.read_answer()
 
     run_async(body())
 
@@ -259,22 +259,24 @@
 def test_a_client_that_never_completes_a_command_is_disconnected(pieces: list[bytes], times_out: bool) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             await wait_until(lambda: [c for c in served.clients.connections if c.transport])
-            [client] = served.clients.connections
+            [connection] = served.clients.connections
             for piece in pieces:
-                client.data_received(piece)
-            await wait_until(lambda: not client.slots)
-            client_timeouts.check_timeouts(client, client.server.clock() + client_timeouts.COMMAND_TIMEOUT * 0.9)
-            assert not client.is_closing
-            client_timeouts.check_timeouts(client, client.server.clock() + client_timeouts.COMMAND_TIMEOUT)
+                connection.data_received(piece)
+            await wait_until(lambda: not connection.slots)
+            client_timeouts.check_timeouts(
+                connection, connection.server.clock() + client_timeouts.COMMAND_TIMEOUT * 0.9
+            )
+            assert not connection.is_closing
+            client_timeouts.check_timeouts(connection, connection.server.clock() + client_timeouts.COMMAND_TIMEOUT)
             if times_out:
                 with pytest.raises(EOFError):
                     while True:
-                        await caller.read_answer()
+                        await client.read_answer()
             else:
-                assert client.transport is not None and not client.transport.is_closing()
-            assert client.is_closing == times_out  # No further input is processed.
+                assert connection.transport is not None and not connection.transport.is_closing()
+            assert connection.is_closing == times_out  # No further input is processed.
 
     run_async(body())
 
@@ -300,9 +302,9 @@
 
     async def body() -> None:
         async with running_ingress(config()) as (_, address):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             with pytest.raises(EOFError):
-                await caller.read_answer()
+                await client.read_answer()
 
     run_async(body())
 
@@ -310,12 +312,12 @@
 def test_a_client_that_sends_only_unknown_commands_is_disconnected() -> None:
     async def body() -> None:
         async with running_ingress(config()) as (_, address):
-            caller = await RespClient.connect(address)
-            caller.writer.write(resp(b"NONSENSE") * 200)
+            client = await RespClient.connect(address)
+            client.writer.write(resp(b"NONSENSE") * 200)
             answers = []
             with pytest.raises(EOFError):
                 while True:
-                    answers.append(str(await caller.read_answer()))
+                    answers.append(str(await client.read_answer()))
             assert len(answers) == client_connection.MAX_MALFORMED + 2 and "too many" in answers[-1]
 
     run_async(body())
@@ -329,10 +331,10 @@
         ):
             stub = StubGateway(start_attempts)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(command())
+            client = await RespClient.connect(address)
+            client.writer.write(command())
             await wait_until(lambda: peer.commands)
-            caller.writer.close()
+            client.writer.close()
             await wait_until(lambda: stub.of(ClientDisconnected))
             assert not served.requests.in_flight
 
@@ -348,15 +350,15 @@
         ):
             stub = StubGateway(start_attempts if sent else None)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             clock = asyncio.get_running_loop().time
             start = clock()
-            assert str(await caller.request(command(d=300))) == "ERR failed"
+            assert str(await client.request(command(d=300))) == "ERR failed"
             assert clock() - start > 0.2
             assert len(stub.of(ClientDisconnected)) == 1
             await wait_until(lambda: not served.requests.attempts_in_flight and not served.requests.in_flight)
             assert len(stub.of(AttemptEnded)) == sent
-            assert await caller.request(resp(b"PING")) == b"PONG"
+            assert await client.request(resp(b"PING")) == b"PONG"
 
     run_async(body())
 
@@ -369,8 +371,8 @@
             fake_endpoint(b"") as peer,
             running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
-            caller = await RespClient.connect(address)
-            assert isinstance(await caller.request(command(d=500)), hiredis.ReplyError)
+            client = await RespClient.connect(address)
+            assert isinstance(await client.request(command(d=500)), hiredis.ReplyError)
             assert not served.requests.in_flight and not served.gateway.requests
 
     run_async(body())
@@ -382,8 +384,8 @@
 ) -> None:
     async def body() -> None:
         async with fake_endpoint(b"") as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
-            caller = await RespClient.connect(address)
-            assert isinstance(await caller.request(command(d=d)), hiredis.ReplyError)
+            client = await RespClient.connect(address)
+            assert isinstance(await client.request(command(d=d)), hiredis.ReplyError)
 
     run_async(body())
     assert not any("forced" in record.getMessage() for record in caplog.records)
@@ -394,9 +396,9 @@
         async with running_ingress(config()) as (served, address):
             retry_after = {"1": 0.0, "2": 1.2501}
             served.runner.gateway = StubGateway(lambda e: [RejectRequest(e.request_id, retry_after[e.request_id])])  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            assert str(await caller.request(command())) == "BUSY"
-            assert str(await caller.request(command())) == "BUSY 1251"
+            client = await RespClient.connect(address)
+            assert str(await client.request(command())) == "BUSY"
+            assert str(await client.request(command())) == "BUSY 1251"
 
     run_async(body())
 
@@ -405,9 +407,9 @@
     async def body() -> None:
         async with running_ingress(config()) as (served, address):
             served.runner.gateway = StubGateway(lambda e: [FailRequest(e.request_id), RejectRequest(e.request_id)])  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            assert str(await caller.request(command())) == "ERR failed"
-            assert await caller.request(resp(b"PING")) == b"PONG"
+            client = await RespClient.connect(address)
+            assert str(await client.request(command())) == "ERR failed"
+            assert await client.request(resp(b"PING")) == b"PONG"
 
     run_async(body())
 
@@ -426,11 +428,11 @@
 
             stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(command("one") + command("two", customer=9) + command("three"))
-            assert await caller.read_answer() == b"one"
-            assert str(await caller.read_answer()) == "ERR failed"
-            assert await caller.read_answer() == b"three"
+            client = await RespClient.connect(address)
+            client.writer.write(command("one") + command("two", customer=9) + command("three"))
+            assert await client.read_answer() == b"one"
+            assert str(await client.read_answer()) == "ERR failed"
+            assert await client.read_answer() == b"three"
             await wait_until(lambda: stub.of(TimerFired))
             await wait_until(lambda: not served.requests.in_flight)
 
@@ -456,8 +458,8 @@
 
             stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            assert await caller.request(command("x")) == b"x"
+            client = await RespClient.connect(address)
+            assert await client.request(command("x")) == b"x"
             assert [e.outcome for e in stub.of(AttemptEnded)] == [Outcome.CANCELLED, Outcome.OK]
             await wait_until(lambda: one.ended_connections)
 
@@ -487,8 +489,8 @@
 
             stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            assert await caller.request(command("x")) == b"x"
+            client = await RespClient.connect(address)
+            assert await client.request(command("x")) == b"x"
             await wait_until(lambda: len(stub.of(AttemptEnded)) == 2)
             assert [(e.attempt, e.outcome) for e in stub.of(AttemptEnded)] == [(1, Outcome.OK), (0, Outcome.CANCELLED)]
             assert not served.requests.attempts_in_flight and not served.requests.in_flight
@@ -509,8 +511,8 @@
 
             stub = StubGateway(plan)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            assert str(await caller.request(command(d=300))) == "ERR failed"
+            client = await RespClient.connect(address)
+            assert str(await client.request(command(d=300))) == "ERR failed"
             outcomes = [(e.attempt, e.outcome) for e in stub.of(AttemptEnded)]
             assert outcomes == [*((n, Outcome.ERROR) for n in range(4)), (4, Outcome.NOT_SENT)]
 
@@ -524,9 +526,9 @@
             running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
             override_config(served, max_open_requests=1)
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             other = await RespClient.connect(address)
-            caller.writer.write(command())
+            client.writer.write(command())
             await wait_until(lambda: peer.commands)
             assert str(await other.request(command())).startswith("BUSY")
             assert served.metrics.rejections_by_reason == {"memory": 1}  # The reason is not a missing endpoint.
@@ -547,9 +549,9 @@
                 return start_attempts(event)
 
             served.runner.gateway = StubGateway(plan)  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(b"".join(command(str(n)) for n in range(50)))
-            assert [await caller.read_answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
+            client = await RespClient.connect(address)
+            client.writer.write(b"".join(command(str(n)) for n in range(50)))
+            assert [await client.read_answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
 
     run_async(body())
     assert max_in_flight == 4
@@ -559,14 +561,14 @@
     async def body() -> None:
         async with running_ingress(config()) as (served, address):
             served.clients.max_connections = 3  # Reaching the limit closes an idle connection.
-            callers = [await RespClient.connect(address) for _ in range(2)]
-            for caller in callers:
-                assert await caller.request(resp(b"PING")) == b"PONG"
+            clients = [await RespClient.connect(address) for _ in range(2)]
+            for client in clients:
+                assert await client.request(resp(b"PING")) == b"PONG"
             third = await RespClient.connect(address)
             assert await third.request(resp(b"PING")) == b"PONG"
             with pytest.raises(EOFError):
-                await callers[0].read_answer()
-            assert await callers[1].request(resp(b"PING")) == b"PONG"
+                await clients[0].read_answer()
+            assert await clients[1].request(resp(b"PING")) == b"PONG"
 
     run_async(body())
 
--- a/tests/test_net_long.py
+++ b/tests/test_net_long.py
@@ -38,7 +38,7 @@
 HEAD = b"*3\r\n$%d\r\n" % len(LONG)
 
 
-async def slow_caller(served: Ingress, address: Address) -> RespClient:
+async def slow_client(served: Ingress, address: Address) -> RespClient:
     """Connect a client with small socket buffers, so that little is in flight besides what it has read."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 14)
@@ -92,14 +92,14 @@
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             stub = StubGateway(start_attempts)
             served.runner.gateway = stub  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(command(d=300))
+            client = await RespClient.connect(address)
+            client.writer.write(command(d=300))
             head = b"$%d\r\n" % len(LONG)
-            assert await caller.reader.readexactly(len(head) + 100) == head + LONG[:100]
+            assert await client.reader.readexactly(len(head) + 100) == head + LONG[:100]
             await asyncio.sleep(0.4)  # The deadline has passed; a value that has begun is not aborted.
             first_forwarded.set()
-            assert await caller.reader.readexactly(len(LONG) - 98) == LONG[100:] + b"\r\n"
-            assert await caller.request(command()) == LONG  # Both connections can be used again.
+            assert await client.reader.readexactly(len(LONG) - 98) == LONG[100:] + b"\r\n"
+            assert await client.request(command()) == LONG  # Both connections can be used again.
             assert peer.connections == 1
             await wait_until(lambda: not served.requests.in_flight)
             assert [type(e) for e in stub.seen[:3]] == [RequestReceived, ResponseStarted, AttemptEnded]
@@ -126,18 +126,18 @@
 
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
-            caller = await slow_caller(served, address)
-            caller.writer.write(command())
-            [client] = served.clients.connections
+            client = await slow_client(served, address)
+            client.writer.write(command())
+            [connection] = served.clients.connections
             # The receive window of the client is full, because it reads nothing.
-            await wait_until(lambda: client.is_write_paused)
-            assert client.transport is not None
+            await wait_until(lambda: connection.is_write_paused)
+            assert connection.transport is not None
             [request] = served.requests.in_flight.values()
             assert request.streaming_attempt is not None and request.streaming_attempt.connection is not None
             await wait_until(lambda: request.streaming_attempt.connection.is_read_paused)  # type: ignore[union-attr]
-            buffered = client.transport.get_write_buffer_size() + sum(map(len, request.slot.chunks))
+            buffered = connection.transport.get_write_buffer_size() + sum(map(len, request.slot.chunks))
             assert buffered <= 3 * MAX_STREAM_WINDOW
-            assert await caller.read_answer() == bytes(resp.MAX_VALUE_BYTES)
+            assert await client.read_answer() == bytes(resp.MAX_VALUE_BYTES)
             await wait_until(lambda: not served.requests.in_flight and not served.pool.streaming)
             assert served.metrics.results["read", RequestResult.SUCCEEDED] == 1
 
@@ -159,8 +159,8 @@
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(command("slow") + command("long"))
+            client = await RespClient.connect(address)
+            client.writer.write(command("slow") + command("long"))
             await wait_until(
                 lambda: any(
                     r.streaming_attempt
@@ -172,7 +172,7 @@
             [waiting] = [r for r in served.requests.in_flight.values() if r.streaming_attempt]
             assert sum(map(len, waiting.slot.chunks)) < len(LONG) / 4
             answer_first.set()
-            assert [await caller.read_answer(), await caller.read_answer()] == [b"slow", LONG]
+            assert [await client.read_answer(), await client.read_answer()] == [b"slow", LONG]
 
     run_async(body())
 
@@ -192,10 +192,10 @@
                 address,
             ),
         ):
-            caller = await RespClient.connect(address)
-            caller.writer.write(command())
+            client = await RespClient.connect(address)
+            client.writer.write(command())
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.read_answer()
+                await client.read_answer()
             await wait_until(lambda: not served.requests.in_flight)
             assert peer.connections == 1 and served.metrics.requests_in_flight == 0
 
@@ -210,10 +210,10 @@
 
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
-            caller = await RespClient.connect(address)
-            caller.writer.write(command())
-            await caller.reader.readexactly(100)
-            caller.writer.close()
+            client = await RespClient.connect(address)
+            client.writer.write(command())
+            await client.reader.readexactly(100)
+            client.writer.close()
             await wait_until(
                 lambda: peer.ended_connections and not served.requests.in_flight and not served.pool.streaming
             )
@@ -232,10 +232,10 @@
 
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (_, address):
-            caller = await RespClient.connect(address)
-            caller.writer.write(command())
+            client = await RespClient.connect(address)
+            client.writer.write(command())
             with pytest.raises(EOFError):
-                await caller.read_answer()
+                await client.read_answer()
 
     run_async(body())
 
@@ -251,8 +251,8 @@
 
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
-            caller = await slow_caller(served, address)
-            caller.writer.write(command())
+            client = await slow_client(served, address)
+            client.writer.write(command())
             await wait_until(lambda: served.requests.received_count and not served.clients.connections)
             await wait_until(lambda: not served.requests.in_flight)
 
@@ -270,8 +270,8 @@
         settings = {**SETTINGS, "limits": {**SETTINGS["limits"], "second-copies": True, "cancel": True}}
         fleet = (endpoint_entry(peer.address, f"s{n}") for n in range(8))
         async with peer, running_ingress(config(*fleet, settings=settings)) as (served, address):
-            caller = await RespClient.connect(address)
-            assert await caller.request(command()) == LONG
+            client = await RespClient.connect(address)
+            assert await client.request(command()) == LONG
             await wait_until(lambda: not served.requests.attempts_in_flight)
             assert peer.connections == 2
 
@@ -297,8 +297,8 @@
     async def body() -> None:
         async with running_ingress(config()) as (served, address):
             served.budget.command_bytes = served.budget.capacity()
-            caller = await RespClient.connect(address)
-            assert str(await caller.request(command())).startswith("BUSY")
+            client = await RespClient.connect(address)
+            assert str(await client.request(command())).startswith("BUSY")
             served.budget.command_bytes = 0
             assert not served.requests.in_flight
 
--- a/tests/test_net_readiness.py
+++ b/tests/test_net_readiness.py
@@ -62,13 +62,13 @@
 async def ready_after(program: Program, began: float) -> StartTimes:
     """Wait for the first +PONG of a process that was started at `began`; return its times."""
     while True:
-        caller = await program.first_connection()
+        client = await program.first_connection()
         try:
-            assert await caller.request(resp(b"PING")) == b"PONG"
+            assert await client.request(resp(b"PING")) == b"PONG"
         except (EOFError, ConnectionError):
             continue
         start = times(program, began)
-        caller.writer.close()
+        client.writer.close()
         return start
 
 
@@ -102,8 +102,8 @@
                 assert start.wall < READY_TIMEOUT_S and start.cpu < MAX_CPU_S, start
                 while how != "refused" and not down.commands:
                     await asyncio.sleep(0.005)  # The process must have asked discovery.
-                caller = await RespClient.connect(program.address)
-                answer = await caller.request(command(d=1000))
+                client = await RespClient.connect(program.address)
+                answer = await client.request(command(d=1000))
                 assert answer == b"00000000000000aa" if servers else str(answer).startswith(("BUSY", "ERR")), answer
                 check_no_traceback(program)
 
@@ -116,15 +116,15 @@
             known = [endpoint_entry(hanging.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
             began = time.monotonic()
             async with launched(tmp_path, *known, discovery=f"127.0.0.1:{down.address[1]}") as program:
-                callers = []
+                clients = []
                 for number in range(50):
-                    callers.append(await program.first_connection())
-                    callers[-1].writer.write(command(f"{number}", customer=number))
+                    clients.append(await program.first_connection())
+                    clients[-1].writer.write(command(f"{number}", customer=number))
                 start = await ready_after(program, began)
                 assert start.wall < READY_TIMEOUT_S and start.cpu < MAX_CPU_S, start
                 check_no_traceback(program)
-                for caller in callers:
-                    caller.writer.close()
+                for client in clients:
+                    client.writer.close()
 
     run_async(body())
 
@@ -168,8 +168,8 @@
                 )
 
             programs = [await starts(number, first, None) for number in range(RESTART_COUNT)]
-            callers = [await program.first_connection() for program in programs]
-            assert [await caller.request(command()) for caller in callers] == [b"00000000000000aa"] * RESTART_COUNT
+            clients = [await program.first_connection() for program in programs]
+            assert [await client.request(command()) for client in clients] == [b"00000000000000aa"] * RESTART_COUNT
             for program in programs:
                 program.process.send_signal(signal.SIGKILL)
             for program in programs:
@@ -186,8 +186,8 @@
             blocked = max(start.wall - start.cpu - start.runnable for start in starts_found)
             assert sum(start.cpu for start in starts_found) + blocked < READY_TIMEOUT_S / 2, starts_found
             for program, _ in starting:
-                caller = await RespClient.connect(program.address)
-                assert await caller.request(command()) == b"00000000000000aa"
+                client = await RespClient.connect(program.address)
+                assert await client.request(command()) == b"00000000000000aa"
                 check_no_traceback(program)
 
     run_async(body())
--- a/tests/test_net_signals.py
+++ b/tests/test_net_signals.py
@@ -95,9 +95,9 @@
 
     async def ready(self) -> None:
         """Wait until the process has replied +PONG."""
-        caller = await self.first_connection()
-        assert await caller.request(resp(b"PING")) == b"PONG"
-        caller.writer.close()
+        client = await self.first_connection()
+        assert await client.request(resp(b"PING")) == b"PONG"
+        client.writer.close()
 
     async def call(self, line: bytes) -> list[str]:
         """Send one line to the admin server and return the lines of its answer."""
@@ -169,11 +169,11 @@
     assert not program.logged("Traceback") and not program.logged("never retrieved"), program.log
 
 
-async def expect_close(caller: RespClient) -> None:
+async def expect_close(client: RespClient) -> None:
     """Check that the connection is closed without another answer; then close the client's side."""
     with pytest.raises((EOFError, ConnectionError)):
-        pytest.fail(f"one more answer: {await caller.read_answer()!r}")
-    caller.writer.close()
+        pytest.fail(f"one more answer: {await client.read_answer()!r}")
+    client.writer.close()
 
 
 # SIGTERM during start-up
@@ -200,12 +200,12 @@
 def test_a_request_sent_with_sigterm_as_the_process_starts_to_listen_is_answered(tmp_path: Path) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
-            caller = await program.first_connection()
-            caller.writer.write(command("first"))
+            client = await program.first_connection()
+            client.writer.write(command("first"))
             program.process.send_signal(signal.SIGTERM)
             sigterm_at = time.monotonic()
-            assert await caller.read_answer() == b"first"
-            await expect_close(caller)
+            assert await client.read_answer() == b"first"
+            await expect_close(client)
             assert await program.ended() == 0, program.log
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
             check_no_traceback(program)
@@ -258,8 +258,8 @@
     async def body() -> None:
         async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
-            caller = await RespClient.connect(program.address)
-            assert await caller.request(command("one")) == b"one"
+            client = await RespClient.connect(program.address)
+            assert await client.request(command("one")) == b"one"
             program.process.send_signal(signal.SIGTERM)
             await wait_until(lambda: program.logged(log_line))
             sighup_count = 0
@@ -286,25 +286,25 @@
     async def body() -> None:
         async with peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
-            callers = [await RespClient.connect(program.address) for _ in range(6)]
-            for number, caller in enumerate(callers):
+            clients = [await RespClient.connect(program.address) for _ in range(6)]
+            for number, client in enumerate(clients):
                 cls = ("read", "order")[number % 2]
                 d = (60_000, 1_900)[number // 2 % 2]
-                caller.writer.write(b"".join(command(f"{number}-{n}", cls, d, customer=number) for n in range(2)))
+                client.writer.write(b"".join(command(f"{number}-{n}", cls, d, customer=number) for n in range(2)))
             await wait_until(lambda: len(peer.commands) >= 2)
             program.process.send_signal(signal.SIGTERM)
             sigterm_at = time.monotonic()
             late = await RespClient.connect(program.address)
             late.writer.write(command("late", d=60_000))
 
-            async def answers(caller: RespClient, count: int) -> None:
+            async def answers(client: RespClient, count: int) -> None:
                 for _ in range(count):
-                    answer = await caller.read_answer()
+                    answer = await client.read_answer()
                     assert isinstance(answer, hiredis.ReplyError), answer
                 assert time.monotonic() - sigterm_at < KILL_DELAY_S
-                await expect_close(caller)
+                await expect_close(client)
 
-            await asyncio.gather(answers(late, 1), *(answers(caller, 2) for caller in callers))
+            await asyncio.gather(answers(late, 1), *(answers(client, 2) for client in clients))
             assert await program.ended() == 0, program.log
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
             check_no_traceback(program)
@@ -328,16 +328,16 @@
             is_draining = False
 
             async def send_requests(number: int) -> None:
-                caller = await RespClient.connect(program.address)
+                client = await RespClient.connect(program.address)
                 count = 0
                 while True:
                     count += 1
                     request = f"{number:08x}{count:08x}"
                     try:
-                        answer = await caller.request(command(request, customer=number))
+                        answer = await client.request(command(request, customer=number))
                     except (EOFError, ConnectionError):
                         crossed.append(request.encode())
-                        caller.writer.close()
+                        client.writer.close()
                         return
                     if not isinstance(answer, hiredis.ReplyError):
                         assert answer == request.encode()
@@ -366,20 +366,20 @@
     async def body() -> None:
         async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
-            callers = [await RespClient.connect(program.address) for _ in range(12)]
-            for caller in callers:
-                assert await caller.request(resp(b"SELECT", b"0")) == b"OK"
+            clients = [await RespClient.connect(program.address) for _ in range(12)]
+            for client in clients:
+                assert await client.request(resp(b"SELECT", b"0")) == b"OK"
             program.process.send_signal(signal.SIGTERM)
             await wait_until(lambda: program.logged("n0 is draining"))
             program.process.send_signal(signal.SIGSTOP)
-            for number, caller in enumerate(callers):
-                caller.writer.write(command(f"{number}", customer=number))
+            for number, client in enumerate(clients):
+                client.writer.write(command(f"{number}", customer=number))
             await asyncio.sleep(0.8)  # Longer than open connections are served during a drain.
             program.process.send_signal(signal.SIGCONT)
-            for number, caller in enumerate(callers):
-                answer = await caller.read_answer()
+            for number, client in enumerate(clients):
+                answer = await client.read_answer()
                 assert answer == b"%d" % number or str(answer).startswith("BUSY"), answer
-                await expect_close(caller)
+                await expect_close(client)
             assert await program.ended() == 0, program.log
             check_no_traceback(program)
 
@@ -454,7 +454,7 @@
             await program.ready()
             good = program.path.read_text(encoding="utf-8")
             before = await program.call(b"show-config")
-            caller = await RespClient.connect(program.address)
+            client = await RespClient.connect(program.address)
             start = len(program.log)
             for number, (text, words) in enumerate(invalid_files):
                 if text is None:
@@ -469,7 +469,7 @@
                 assert "reload: " in line and all(word in line for word in words), line
                 assert len(line) < 400
                 request = f"{number:016x}"
-                assert await caller.request(command(request)) == request.encode()
+                assert await client.request(command(request)) == request.encode()
                 now = await program.call(b"show-config")
                 assert now[:4] == before[:4] and now[-2].startswith("refused: reload at ")
             source = json.loads(good)
@@ -479,7 +479,7 @@
             await wait_until(lambda: program.logged("generation 2"))
             lines = program.log[start : program.log.index(program.logged("generation 2")[0])]
             assert len(lines) == len(invalid_files) and all(line.startswith("ERROR ") for line in lines), lines
-            assert await caller.request(command("after")) == b"after"
+            assert await client.request(command("after")) == b"after"
             program.process.send_signal(signal.SIGTERM)
             assert await program.ended() == 0
 
@@ -499,13 +499,13 @@
                     program.process.send_signal(signal.SIGHUP)
                     await asyncio.sleep(0.002)
 
-            caller = await RespClient.connect(program.address)
+            client = await RespClient.connect(program.address)
             sending = asyncio.create_task(send_sighups())
             for n in range(50):
-                assert await caller.request(command(f"{n:016x}", d=1000)) == b"%016x" % n
+                assert await client.request(command(f"{n:016x}", d=1000)) == b"%016x" % n
             program.process.send_signal(signal.SIGTERM)
             sigterm_at = time.monotonic()
-            await expect_close(caller)
+            await expect_close(client)
             assert time.monotonic() - sigterm_at < KILL_DELAY_S
             stop.set()
             await sending
@@ -520,8 +520,8 @@
 
     async def body() -> None:
         async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
-            caller = await program.first_connection()
-            assert await caller.request(command("one")) == b"one"
+            client = await program.first_connection()
+            assert await client.request(command("one")) == b"one"
             program.process.send_signal(signal.SIGTERM)
             assert await program.ended() == 0
             with socket.socket() as sock:
--- a/tests/test_net_tls.py
+++ b/tests/test_net_tls.py
@@ -126,9 +126,9 @@
                 config(endpoint_entry(peer.address), tls=pair.spec(), **{"server-tls": {"ca": str(authority.path)}})
             ) as (_, address),
         ):
-            caller = await secure(address, trusting(authority))
-            assert await caller.request(command(d=10_000)) == LONG
-            answer = await caller.request(command("2" * 16, "order", d=10_000, body=LONG))
+            client = await secure(address, trusting(authority))
+            assert await client.request(command(d=10_000)) == LONG
+            answer = await client.request(command("2" * 16, "order", d=10_000, body=LONG))
             assert answer == LONG and peer.commands[-1][-1] == LONG
 
     run_async(body())
@@ -142,10 +142,10 @@
 
     async def body() -> None:
         async with running_ingress(config(tls=authority.sign("ingress").spec())) as (served, address):
-            caller = await RespClient.connect(address)
-            caller.writer.write(data)
+            client = await RespClient.connect(address)
+            client.writer.write(data)
             with pytest.raises((EOFError, ConnectionError, Exception)):
-                assert not await caller.read_answer()
+                assert not await client.read_answer()
             await wait_until(lambda: not served.clients.connections)
             assert served.clients.shares.total == 0
             good = await secure(address, trusting(authority))
@@ -242,10 +242,10 @@
                 assert line, "the process has ended"
 
         async def serial(context: ssl.SSLContext) -> int:
-            caller = await secure(("127.0.0.1", port), context)
-            assert await caller.request(PING) == b"PONG"
-            found = caller.writer.get_extra_info("peercert")
-            caller.writer.close()
+            client = await secure(("127.0.0.1", port), context)
+            assert await client.request(PING) == b"PONG"
+            found = client.writer.get_extra_info("peercert")
+            client.writer.close()
             return int(found["serialNumber"], 16)
 
         try:
--- a/tests/test_net_upload.py
+++ b/tests/test_net_upload.py
@@ -80,12 +80,12 @@
             length_endpoint() as peer,
             running_ingress(config(*(endpoint_entry(peer.address, f"s{n}") for n in range(8)))) as (served, address),
         ):
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             data = command("before") + UPLOAD + command("after")
             for at in range(0, len(data), step):
-                caller.writer.write(data[at : at + step])
-                await caller.writer.drain()
-            assert [await caller.read_answer() for _ in range(3)][1] == b"%d" % len(LONG)
+                client.writer.write(data[at : at + step])
+                await client.writer.drain()
+            assert [await client.read_answer() for _ in range(3)][1] == b"%d" % len(LONG)
             [long] = [c for c in peer.commands if c[2] == b"long"]
             assert long[4] == LONG and b"d=2000" in long[3]
             assert {c[2] for c in peer.commands} == {b"before", b"long", b"after"}
@@ -112,13 +112,13 @@
             stub = StubGateway(start_attempts)
             served.runner.gateway = stub  # type: ignore[assignment]
             data = UPLOAD.replace(b"d=2000", b"d=0300")
-            caller = await RespClient.connect(address)
-            caller.writer.write(data[: HEAD + 100])
+            client = await RespClient.connect(address)
+            client.writer.write(data[: HEAD + 100])
             await first_received.wait()
             await asyncio.sleep(0.4)  # Longer than the timeout of the request.
             assert served.metrics.attempts_sent == 0
-            caller.writer.write(data[HEAD + 100 :])
-            assert await caller.read_answer() == b"served"
+            client.writer.write(data[HEAD + 100 :])
+            assert await client.read_answer() == b"served"
             assert [type(e) for e in stub.seen] == [RequestReceived, UploadStarted, UploadFinished, AttemptEnded]
             assert [e.is_chunked for e in stub.of(RequestReceived)] == [True]
 
@@ -146,9 +146,9 @@
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             peer.server.sockets[0].setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 14)
-            caller = await RespClient.connect(address)
+            client = await RespClient.connect(address)
             big = command("big", cls="order", body=bytes(resp.MAX_VALUE_BYTES))
-            caller.writer.write(big)
+            client.writer.write(big)
             await wait_until(lambda: any(c.upload_paused for c in served.clients.connections))
             await wait_until(lambda: served.requests.attempts_in_flight)
             [request] = served.requests.in_flight.values()
@@ -159,7 +159,7 @@
                 buffered += attempt.connection.transport.get_write_buffer_size()
             assert buffered <= 3 * MAX_STREAM_WINDOW
             read_on.set()
-            assert await caller.read_answer() == b"%d" % resp.MAX_VALUE_BYTES
+            assert await client.read_answer() == b"%d" % resp.MAX_VALUE_BYTES
 
     run_async(body())
 
@@ -176,13 +176,13 @@
                 address,
             ),
         ):
-            caller = await RespClient.connect(address)
-            caller.writer.write(UPLOAD[: HEAD + 100])
-            answer = str(await caller.read_answer())
+            client = await RespClient.connect(address)
+            client.writer.write(UPLOAD[: HEAD + 100])
+            answer = str(await client.read_answer())
             # The connection broke before the last byte, so the request was not executed.
             assert answer.startswith("BUSY")
             assert peer.connections == 1
-            caller.writer.write(UPLOAD[HEAD + 100 :] + command("next"))
+            client.writer.write(UPLOAD[HEAD + 100 :] + command("next"))
             await wait_until(lambda: served.requests.received_count == 2)  # The remaining body is read and dropped.
             assert served.budget.streaming_uploads == 0
 
@@ -205,8 +205,8 @@
                 return start_attempts(event)
 
             served.runner.gateway = StubGateway(plan)  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            assert await caller.request(UPLOAD) == b"%d" % len(LONG)
+            client = await RespClient.connect(address)
+            assert await client.request(UPLOAD) == b"%d" % len(LONG)
 
     run_async(body())
 
@@ -219,10 +219,10 @@
 
     async def body() -> None:
         async with peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
-            caller = await RespClient.connect(address)
-            caller.writer.write(UPLOAD[: HEAD + 100])
+            client = await RespClient.connect(address)
+            client.writer.write(UPLOAD[: HEAD + 100])
             await wait_until(lambda: peer.commands)
-            caller.writer.close()
+            client.writer.close()
             await wait_until(
                 lambda: peer.ended_connections
                 and not served.requests.in_flight
@@ -243,10 +243,10 @@
             length_endpoint() as peer,
             running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
-            caller = await RespClient.connect(address)
-            caller.writer.write(UPLOAD[: HEAD + 100])
+            client = await RespClient.connect(address)
+            client.writer.write(UPLOAD[: HEAD + 100])
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.read_answer()
+                await client.read_answer()
             await wait_until(lambda: not served.requests.in_flight)
             assert not peer.commands
 
@@ -268,11 +268,11 @@
             fake_endpoint(b"") as peer,
             running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
-            caller = await RespClient.connect(address)
-            caller.writer.write(data)
+            client = await RespClient.connect(address)
+            client.writer.write(data)
             with pytest.raises((EOFError, ConnectionError)):
                 while True:
-                    assert str(await caller.read_answer()).startswith("ERR")
+                    assert str(await client.read_answer()).startswith("ERR")
             await wait_until(lambda: not served.requests.in_flight and not served.clients.connections)
 
     run_async(body())
@@ -284,20 +284,20 @@
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = StubGateway(lambda event: [])  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(UPLOAD[: HEAD + 100])
+            client = await RespClient.connect(address)
+            client.writer.write(UPLOAD[: HEAD + 100])
             await wait_until(lambda: [c for c in served.clients.connections if c.upload_paused])
-            [client] = served.clients.connections
+            [connection] = served.clients.connections
             skipped = 10 * upload_reader.CHUNK_TIMEOUT
             clock = served.clients.clock
             served.clients.clock = lambda: clock() + skipped
-            client_timeouts.check_timeouts(client, served.clients.clock())
-            assert not client.is_closing  # A paused upload never times out.
-            client.pause_upload(False)
-            client_timeouts.check_timeouts(client, served.clients.clock())
-            assert not client.is_closing
-            client_timeouts.check_timeouts(client, served.clients.clock() + 1.1 * upload_reader.CHUNK_TIMEOUT)
-            assert client.is_closing
+            client_timeouts.check_timeouts(connection, served.clients.clock())
+            assert not connection.is_closing  # A paused upload never times out.
+            connection.pause_upload(False)
+            client_timeouts.check_timeouts(connection, served.clients.clock())
+            assert not connection.is_closing
+            client_timeouts.check_timeouts(connection, served.clients.clock() + 1.1 * upload_reader.CHUNK_TIMEOUT)
+            assert connection.is_closing
 
     run_async(body())
 
@@ -311,13 +311,13 @@
             running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
             served.runner.gateway = StubGateway(start_attempts)  # type: ignore[assignment]
-            caller = await RespClient.connect(address)
-            caller.writer.write(
+            client = await RespClient.connect(address)
+            client.writer.write(
                 b"".join(command(f"r{n}") for n in range(client_connection.MAX_PIPELINED + 1)) + b"*4\r\n$8"
             )
             await wait_until(lambda: [c for c in served.clients.connections if c.pipeline_full])
-            [client] = served.clients.connections
-            client_timeouts.check_timeouts(client, served.clients.clock() + 1.1 * client_timeouts.COMMAND_TIMEOUT)
-            assert not client.is_closing
+            [connection] = served.clients.connections
+            client_timeouts.check_timeouts(connection, served.clients.clock() + 1.1 * client_timeouts.COMMAND_TIMEOUT)
+            assert not connection.is_closing
 
     run_async(body())
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -149,22 +149,22 @@
         harness.succeed(health)
         harness.outliers.record_success(health, harness.now, late=True)
     assert health.status is HealthStatus.EJECTED
-    play = GatewayHarness(UNLIMITED)
-    [send] = started_attempts(play.send_request())
-    endpoint = play.gateway.cluster.endpoints.by_id[send.endpoint_id]
+    gateway_harness = GatewayHarness(UNLIMITED)
+    [attempt] = started_attempts(gateway_harness.send_request())
+    endpoint = gateway_harness.gateway.cluster.endpoints.by_id[attempt.endpoint_id]
     before = (endpoint.relative_latency, endpoint.latency_ratio, endpoint.concurrency_limit)
-    play.end_attempt(send, ERROR, after=0.001, request_finished=True)
+    gateway_harness.end_attempt(attempt, ERROR, after=0.001, request_finished=True)
     assert (endpoint.relative_latency, endpoint.latency_ratio, endpoint.concurrency_limit) == before
 
 
 def test_an_endpoint_with_instant_errors_attracts_no_traffic_though_it_looks_idle() -> None:
-    play = GatewayHarness(UNLIMITED, (Endpoint(f"b{n}") for n in range(12)))
+    harness = GatewayHarness(UNLIMITED, (Endpoint(f"b{n}") for n in range(12)))
     sent = {True: 0, False: 0}
     for count in range(600):
-        for send in started_attempts(play.send_request(0.02)):
-            bad = send.endpoint_id == "b0"
+        for attempt in started_attempts(harness.send_request(0.02)):
+            bad = attempt.endpoint_id == "b0"
             sent[bad] += count > 100
-            play.end_attempt(send, ERROR if bad else Outcome.OK, after=0.001 if bad else 0.05)
+            harness.end_attempt(attempt, ERROR if bad else Outcome.OK, after=0.001 if bad else 0.05)
     assert sent[True] < 0.02 * sent[False]
 
 
@@ -223,11 +223,11 @@
 
 
 def test_timeouts_of_clients_that_hardly_wait_are_no_evidence() -> None:
-    play = GatewayHarness(UNLIMITED)
+    harness = GatewayHarness(UNLIMITED)
     for _ in range(30):
-        for send in started_attempts(play.send_request(time_left=0.1)):
-            play.end_attempt(send, TIMEOUT, after=0.1, request_finished=True)
-    assert all(s.health.failure_weight == 0.0 for s in play.gateway.cluster.endpoints.by_id.values())
+        for attempt in started_attempts(harness.send_request(time_left=0.1)):
+            harness.end_attempt(attempt, TIMEOUT, after=0.1, request_finished=True)
+    assert all(s.health.failure_weight == 0.0 for s in harness.gateway.cluster.endpoints.by_id.values())
 
 
 # Failures that eject no endpoint
@@ -262,23 +262,23 @@
 
 def test_an_unhealthy_half_is_avoided_and_the_other_half_is_not_overloaded() -> None:
     fleet = [Endpoint(f"b{n}") for n in range(12)]
-    play = GatewayHarness(UNLIMITED, fleet)
+    harness = GatewayHarness(UNLIMITED, fleet)
     unhealthy_ids = {f"b{n}" for n in range(6)}
     sent = dict.fromkeys((b.id for b in fleet), 0)
     for count in range(900):
-        for send in started_attempts(play.send_request(0.02)):
-            sent[send.endpoint_id] += count > 300
-            if send.endpoint_id in unhealthy_ids:
-                play.end_attempt(send, ERROR, after=0.001)
+        for attempt in started_attempts(harness.send_request(0.02)):
+            sent[attempt.endpoint_id] += count > 300
+            if attempt.endpoint_id in unhealthy_ids:
+                harness.end_attempt(attempt, ERROR, after=0.001)
             else:
-                play.end_attempt(send, after=0.03)
+                harness.end_attempt(attempt, after=0.03)
         max_utilization = max(
-            len(s.in_flight) / s.concurrency_limit for s in play.gateway.cluster.endpoints.by_id.values()
+            len(s.in_flight) / s.concurrency_limit for s in harness.gateway.cluster.endpoints.by_id.values()
         )
         assert max_utilization <= 1.0
     assert sum(sent[b] for b in unhealthy_ids) < 0.05 * sum(sent.values())
     assert not any(
-        play.gateway.cluster.endpoints.by_id[b.id].health.status is HealthStatus.EJECTED
+        harness.gateway.cluster.endpoints.by_id[b.id].health.status is HealthStatus.EJECTED
         for b in fleet
         if b.id not in unhealthy_ids
     )
@@ -300,53 +300,53 @@
     harness = DetectorHarness(2)
     harness.fail(harness.endpoints[0], count=5)
     assert harness.states() == [HealthStatus.EJECTED, HealthStatus.HEALTHY]
-    play = GatewayHarness(UNLIMITED, FLEET[:1])
+    gateway_harness = GatewayHarness(UNLIMITED, FLEET[:1])
     for _ in range(10):
-        for send in started_attempts(play.send_request(1.0)):
-            play.end_attempt(send, ERROR, after=0.001, request_finished=True)
-    assert started_attempts(play.send_request(1.0))  # there is no other endpoint
+        for attempt in started_attempts(gateway_harness.send_request(1.0)):
+            gateway_harness.end_attempt(attempt, ERROR, after=0.001, request_finished=True)
+    assert started_attempts(gateway_harness.send_request(1.0))  # there is no other endpoint
 
 
 def test_two_endpoints_that_both_fail_still_get_requests() -> None:
-    play = GatewayHarness(UNLIMITED, FLEET[:2])
+    harness = GatewayHarness(UNLIMITED, FLEET[:2])
     for _ in range(40):
-        for send in started_attempts(play.send_request(0.5)):
-            play.end_attempt(send, ERROR, after=0.01, request_finished=True)
-    assert len({send.endpoint_id for _ in range(10) for send in started_attempts(play.send_request(0.5))}) == 2
+        for attempt in started_attempts(harness.send_request(0.5)):
+            harness.end_attempt(attempt, ERROR, after=0.01, request_finished=True)
+    assert len({attempt.endpoint_id for _ in range(10) for attempt in started_attempts(harness.send_request(0.5))}) == 2
 
 
 def test_local_failures_are_no_evidence() -> None:
-    play = GatewayHarness(UNLIMITED)
+    harness = GatewayHarness(UNLIMITED)
     for _ in range(10):
-        for send in started_attempts(play.send_request(0.1)):
-            play.end_attempt(send, REFUSED, after=0.0, local_failure=True, request_finished=True)
+        for attempt in started_attempts(harness.send_request(0.1)):
+            harness.end_attempt(attempt, REFUSED, after=0.0, local_failure=True, request_finished=True)
     assert all(
-        s.health.failure_weight == 0.0 and not s.avoided(play.now)
-        for s in play.gateway.cluster.endpoints.by_id.values()
+        s.health.failure_weight == 0.0 and not s.avoided(harness.now)
+        for s in harness.gateway.cluster.endpoints.by_id.values()
     )
 
 
 def test_a_starved_process_ignores_missing_responses() -> None:
-    play = GatewayHarness(replace(UNLIMITED, hedging_allowed=True))
-    [send] = started_attempts(play.send_request())
+    harness = GatewayHarness(replace(UNLIMITED, hedging_allowed=True))
+    [attempt] = started_attempts(harness.send_request())
     # half a second late
-    play.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective + 0.5, TimerFired(TimerToken.HEDGE))
-    play.end_attempt(send, TIMEOUT, after=0.2, request_finished=True)
-    health = play.gateway.cluster.endpoints.by_id[send.endpoint_id].health
+    harness.handle_after(HEDGE_DELAY_RATIO * IDEMPOTENT_CLASS.latency_objective + 0.5, TimerFired(TimerToken.HEDGE))
+    harness.end_attempt(attempt, TIMEOUT, after=0.2, request_finished=True)
+    health = harness.gateway.cluster.endpoints.by_id[attempt.endpoint_id].health
     assert health.failure_weight == 0.0
-    assert any("starved" in a.text for a in play.actions if isinstance(a, LogMessage))
+    assert any("starved" in a.text for a in harness.actions if isinstance(a, LogMessage))
     # an error counts although the process is starved
-    play.gateway.cluster.outliers.record_failure(health, play.now, ERROR)
+    harness.gateway.cluster.outliers.record_failure(health, harness.now, ERROR)
     assert health.failure_weight == 1.0
-    play.gateway.cluster.outliers.record_failure(health, play.now + 5.0, TIMEOUT)
+    harness.gateway.cluster.outliers.record_failure(health, harness.now + 5.0, TIMEOUT)
     assert health.failure_weight > 1.5
 
 
 def test_a_timeout_that_is_reported_late_indicates_starvation() -> None:
-    play = GatewayHarness(UNLIMITED)
-    [send] = started_attempts(play.send_request())
-    play.end_attempt(send, TIMEOUT, after=4.5, request_finished=True)  # the deadline was after 4 s
-    assert play.gateway.cluster.endpoints.by_id[send.endpoint_id].health.failure_weight == 0.0
+    harness = GatewayHarness(UNLIMITED)
+    [attempt] = started_attempts(harness.send_request())
+    harness.end_attempt(attempt, TIMEOUT, after=4.5, request_finished=True)  # the deadline was after 4 s
+    assert harness.gateway.cluster.endpoints.by_id[attempt.endpoint_id].health.failure_weight == 0.0
 
 
 # Readmission
@@ -365,20 +365,20 @@
 
 
 def test_an_endpoint_on_probation_starts_with_one_request_and_a_small_limit() -> None:
-    play = GatewayHarness(UNLIMITED, FLEET[:2])
-    outliers, endpoint = play.gateway.cluster.outliers, play.gateway.cluster.endpoints.by_id["b0"]
+    harness = GatewayHarness(UNLIMITED, FLEET[:2])
+    outliers, endpoint = harness.gateway.cluster.outliers, harness.gateway.cluster.endpoints.by_id["b0"]
     endpoint.concurrency_limit = 50.0
     for _ in range(6):
-        outliers.record_failure(endpoint.health, play.now, ERROR)
-    play.now = endpoint.health.ejected_until + 0.1
+        outliers.record_failure(endpoint.health, harness.now, ERROR)
+    harness.now = endpoint.health.ejected_until + 0.1
     endpoint.health.next_health_check_at = float("inf")
     unanswered: list[StartAttempt] = []
     for _ in range(40):
-        for send in started_attempts(play.send_request(0.01)):
-            if send.endpoint_id == "b0":
-                unanswered.append(send)
+        for attempt in started_attempts(harness.send_request(0.01)):
+            if attempt.endpoint_id == "b0":
+                unanswered.append(attempt)
             else:
-                play.end_attempt(send, after=0.0)
+                harness.end_attempt(attempt, after=0.0)
     assert (
         len(unanswered) == 1
         and endpoint.health.status is HealthStatus.PROBATION
@@ -387,22 +387,22 @@
 
 
 def test_a_probation_gets_no_request_that_is_not_idempotent() -> None:
-    play = GatewayHarness(UNLIMITED, FLEET[:2])
-    outliers, endpoint = play.gateway.cluster.outliers, play.gateway.cluster.endpoints.by_id["b0"]
+    harness = GatewayHarness(UNLIMITED, FLEET[:2])
+    outliers, endpoint = harness.gateway.cluster.outliers, harness.gateway.cluster.endpoints.by_id["b0"]
     for _ in range(5):
-        outliers.record_failure(endpoint.health, play.now, ERROR)
-    play.now = endpoint.health.ejected_until + 0.1
+        outliers.record_failure(endpoint.health, harness.now, ERROR)
+    harness.now = endpoint.health.ejected_until + 0.1
     endpoint.health.next_health_check_at = float("inf")
     assert NOT_IDEMPOTENT_CLASS.idempotency is Idempotency.NOT_IDEMPOTENT
     for _ in range(20):
-        for send in started_attempts(play.send_request(0.01, request_class="pay")):
-            assert send.endpoint_id == "b1"
-            play.end_attempt(send)
+        for attempt in started_attempts(harness.send_request(0.01, request_class="pay")):
+            assert attempt.endpoint_id == "b1"
+            harness.end_attempt(attempt)
     chosen = set()
     for _ in range(40):
-        for send in started_attempts(play.send_request(0.01)):
-            chosen.add(send.endpoint_id)
-            play.end_attempt(send)
+        for attempt in started_attempts(harness.send_request(0.01)):
+            chosen.add(attempt.endpoint_id)
+            harness.end_attempt(attempt)
     assert chosen == {"b0", "b1"}
 
 
@@ -571,106 +571,106 @@
 
 
 def test_no_health_check_is_sent_before_a_request_could_use_the_endpoint() -> None:
-    play = GatewayHarness(replace(UNLIMITED, health_checks_allowed=True, health_check_cost=0.01))
-    endpoint = play.gateway.cluster.endpoints.by_id["b0"]
+    harness = GatewayHarness(replace(UNLIMITED, health_checks_allowed=True, health_check_cost=0.01))
+    endpoint = harness.gateway.cluster.endpoints.by_id["b0"]
     for _ in range(5):
-        play.gateway.cluster.outliers.record_failure(endpoint.health, play.now, ERROR)
+        harness.gateway.cluster.outliers.record_failure(endpoint.health, harness.now, ERROR)
     for _ in range(20):
-        play.handle_after(60.0, TimerFired(0))
-    assert not any(isinstance(a, StartHealthCheck) for a in play.actions)
-    play.send_request()
-    assert [a for a in play.actions if isinstance(a, StartHealthCheck)] == [StartHealthCheck("b0", 0.5)]
+        harness.handle_after(60.0, TimerFired(0))
+    assert not any(isinstance(a, StartHealthCheck) for a in harness.actions)
+    harness.send_request()
+    assert [a for a in harness.actions if isinstance(a, StartHealthCheck)] == [StartHealthCheck("b0", 0.5)]
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
 def test_an_endpoint_may_drain_or_be_removed_on_probation_or_during_a_health_check(readiness: Readiness) -> None:
     for on_probation in (False, True):
-        play = GatewayHarness(replace(UNLIMITED, health_checks_allowed=True, health_check_cost=0.01))
-        outliers, health = play.gateway.cluster.outliers, play.gateway.cluster.endpoints.by_id["b0"].health
+        harness = GatewayHarness(replace(UNLIMITED, health_checks_allowed=True, health_check_cost=0.01))
+        outliers, health = harness.gateway.cluster.outliers, harness.gateway.cluster.endpoints.by_id["b0"].health
         for _ in range(5):
-            outliers.record_failure(health, play.now, ERROR)
-        play.send_request(60.0)
-        assert play.actions[-1] == StartHealthCheck("b0", 0.5)
+            outliers.record_failure(health, harness.now, ERROR)
+        harness.send_request(60.0)
+        assert harness.actions[-1] == StartHealthCheck("b0", 0.5)
         if on_probation:
-            play.handle_after(0.0, HealthCheckEnded("b0", Outcome.OK))
-        play.handle_after(0.0, EndpointsChanged(EndpointListKind.UPDATE, (replace(FLEET[0], readiness=readiness),)))
-        assert play.handle_after(0.0, HealthCheckEnded("b0", Outcome.OK)) == []
+            harness.handle_after(0.0, HealthCheckEnded("b0", Outcome.OK))
+        harness.handle_after(0.0, EndpointsChanged(EndpointListKind.UPDATE, (replace(FLEET[0], readiness=readiness),)))
+        assert harness.handle_after(0.0, HealthCheckEnded("b0", Outcome.OK)) == []
         for _ in range(30):
-            for send in started_attempts(play.send_request(0.1)):
-                assert send.endpoint_id != "b0"
-                play.end_attempt(send)
+            for attempt in started_attempts(harness.send_request(0.1)):
+                assert attempt.endpoint_id != "b0"
+                harness.end_attempt(attempt)
         assert outliers.ejected_count == 0 and "b0" not in outliers.endpoints
 
 
 # Identity
 
 
-def state_of(play: GatewayHarness, name: str) -> HealthStatus:
-    return play.gateway.cluster.endpoints.by_id[name].health.status
+def state_of(harness: GatewayHarness, name: str) -> HealthStatus:
+    return harness.gateway.cluster.endpoints.by_id[name].health.status
 
 
-def relist(play: GatewayHarness, *fleet: Endpoint) -> None:
-    play.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, fleet))
+def relist(harness: GatewayHarness, *fleet: Endpoint) -> None:
+    harness.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, fleet))
 
 
-def ejected_b0(play: GatewayHarness) -> EndpointHealth:
-    health = play.gateway.cluster.endpoints.by_id["b0"].health
+def ejected_b0(harness: GatewayHarness) -> EndpointHealth:
+    health = harness.gateway.cluster.endpoints.by_id["b0"].health
     for _ in range(5):
-        play.gateway.cluster.outliers.record_failure(health, play.now, ERROR)
+        harness.gateway.cluster.outliers.record_failure(health, harness.now, ERROR)
     assert health.status is HealthStatus.EJECTED
     return health
 
 
 def test_a_new_incarnation_starts_healthy_and_an_unchanged_entry_keeps_its_health() -> None:
-    play = GatewayHarness(UNLIMITED)
-    ejected_b0(play)
-    relist(play, *FLEET)
-    assert state_of(play, "b0") is HealthStatus.EJECTED
-    relist(play, replace(FLEET[0], started_at=play.now), *FLEET[1:])
-    assert state_of(play, "b0") is HealthStatus.HEALTHY
-    assert play.gateway.cluster.outliers.ejected_count == 0
-    ejected_b0(play)
-    relist(play, *FLEET)  # the list gives no start time now, so this is no newer incarnation
-    assert state_of(play, "b0") is HealthStatus.EJECTED
+    harness = GatewayHarness(UNLIMITED)
+    ejected_b0(harness)
+    relist(harness, *FLEET)
+    assert state_of(harness, "b0") is HealthStatus.EJECTED
+    relist(harness, replace(FLEET[0], started_at=harness.now), *FLEET[1:])
+    assert state_of(harness, "b0") is HealthStatus.HEALTHY
+    assert harness.gateway.cluster.outliers.ejected_count == 0
+    ejected_b0(harness)
+    relist(harness, *FLEET)  # the list gives no start time now, so this is no newer incarnation
+    assert state_of(harness, "b0") is HealthStatus.EJECTED
 
 
 def test_an_endpoint_that_is_removed_and_listed_again_keeps_its_health_for_a_while() -> None:
-    play = GatewayHarness(UNLIMITED)
-    ejected_b0(play)
-    relist(play, *FLEET[1:])
-    assert play.gateway.cluster.outliers.ejected_count == 0
-    relist(play, *FLEET)
-    assert state_of(play, "b0") is HealthStatus.EJECTED
-    assert play.gateway.cluster.outliers.ejected_count == 1
-    relist(play, *FLEET[1:])
-    play.now += REMOVED_RETENTION_S + 1.0
-    relist(play, *FLEET)
-    assert state_of(play, "b0") is HealthStatus.HEALTHY
+    harness = GatewayHarness(UNLIMITED)
+    ejected_b0(harness)
+    relist(harness, *FLEET[1:])
+    assert harness.gateway.cluster.outliers.ejected_count == 0
+    relist(harness, *FLEET)
+    assert state_of(harness, "b0") is HealthStatus.EJECTED
+    assert harness.gateway.cluster.outliers.ejected_count == 1
+    relist(harness, *FLEET[1:])
+    harness.now += REMOVED_RETENTION_S + 1.0
+    relist(harness, *FLEET)
+    assert state_of(harness, "b0") is HealthStatus.HEALTHY
 
 
 def test_a_cancelled_drain_keeps_the_health() -> None:
-    play = GatewayHarness(UNLIMITED)
-    ejected_b0(play)
-    relist(play, replace(FLEET[0], readiness=Readiness.DRAINING), *FLEET[1:])
-    relist(play, *FLEET)
-    assert state_of(play, "b0") is HealthStatus.EJECTED
+    harness = GatewayHarness(UNLIMITED)
+    ejected_b0(harness)
+    relist(harness, replace(FLEET[0], readiness=Readiness.DRAINING), *FLEET[1:])
+    relist(harness, *FLEET)
+    assert state_of(harness, "b0") is HealthStatus.EJECTED
 
 
 def test_a_replacement_with_a_new_id_starts_healthy() -> None:
-    play = GatewayHarness(UNLIMITED)
-    ejected_b0(play)
-    relist(play, replace(FLEET[0], id="b9", started_at=play.now), *FLEET[1:])
-    assert state_of(play, "b9") is HealthStatus.HEALTHY
+    harness = GatewayHarness(UNLIMITED)
+    ejected_b0(harness)
+    relist(harness, replace(FLEET[0], id="b9", started_at=harness.now), *FLEET[1:])
+    assert state_of(harness, "b9") is HealthStatus.HEALTHY
 
 
 def test_outcomes_of_attempts_sent_before_a_restart_are_no_evidence() -> None:
-    play = GatewayHarness(UNLIMITED, FLEET[:2])
-    in_flight = [s for _ in range(2) for s in started_attempts(play.send_request())]
-    play.now += 0.1
-    relist(play, *(replace(b, started_at=play.now + 0.5) for b in FLEET[:2]))
-    for send in in_flight:
-        play.end_attempt(send, Outcome.RESET, after=0.1, request_finished=True)
-    assert all(s.health.failure_weight == 0.0 for s in play.gateway.cluster.endpoints.by_id.values())
+    harness = GatewayHarness(UNLIMITED, FLEET[:2])
+    in_flight = [s for _ in range(2) for s in started_attempts(harness.send_request())]
+    harness.now += 0.1
+    relist(harness, *(replace(b, started_at=harness.now + 0.5) for b in FLEET[:2]))
+    for attempt in in_flight:
+        harness.end_attempt(attempt, Outcome.RESET, after=0.1, request_finished=True)
+    assert all(s.health.failure_weight == 0.0 for s in harness.gateway.cluster.endpoints.by_id.values())
 
 
 def test_memory_of_removed_endpoints_is_bounded() -> None:
@@ -683,25 +683,25 @@
 
 def test_a_zone_that_returns_cold_gets_requests_within_the_slow_start_budget() -> None:
     fleet = tuple(Endpoint(f"b{n}", zone="abc"[n % 3]) for n in range(12))
-    play = GatewayHarness(replace(UNLIMITED, gateway_count=50), fleet)
+    harness = GatewayHarness(replace(UNLIMITED, gateway_count=50), fleet)
     lost_ids = {b.id for b in fleet if b.zone == "a"}
 
     def send_requests(request_count: int, down: bool) -> dict[str, int]:
         attempt_counts = dict.fromkeys(lost_ids, 0)
         for _ in range(request_count):
-            for send in started_attempts(play.send_request(0.02)):
-                if send.endpoint_id in lost_ids:
-                    attempt_counts[send.endpoint_id] += 1
+            for attempt in started_attempts(harness.send_request(0.02)):
+                if attempt.endpoint_id in lost_ids:
+                    attempt_counts[attempt.endpoint_id] += 1
                     if down:
-                        play.end_attempt(send, REFUSED, after=0.001)
+                        harness.end_attempt(attempt, REFUSED, after=0.001)
                         continue
-                play.end_attempt(send, after=0.02)
+                harness.end_attempt(attempt, after=0.02)
         return attempt_counts
 
     send_requests(300, down=False)
     assert sum(send_requests(250, down=True).values()) < 40
-    relist(play, *(replace(b, started_at=play.now) if b.id in lost_ids else b for b in fleet))
-    states = {play.gateway.cluster.endpoints.by_id[name].health.status for name in lost_ids}
+    relist(harness, *(replace(b, started_at=harness.now) if b.id in lost_ids else b for b in fleet))
+    states = {harness.gateway.cluster.endpoints.by_id[name].health.status for name in lost_ids}
     assert states == {HealthStatus.HEALTHY}  # new incarnations have no evidence against them
     cold = send_requests(50, down=False)
     assert sum(cold.values()) <= 4 * 4  # they are cold, so each gateway keeps to its budget
@@ -723,12 +723,12 @@
 )
 def test_an_invalid_load_report_is_counted_and_changes_nothing(load: dict[str, float]) -> None:
     plays = [GatewayHarness(replace(UNLIMITED, load_report_fields=("inflight", "util"))) for _ in range(2)]
-    for play, report in zip(plays, ({"inflight": 3.0, "util": 0.5}, load), strict=True):
-        [send] = started_attempts(play.send_request())
-        play.end_attempt(send, load_report=report)
-    invalid_counts = [play.gateway.cluster.outliers.invalid_load_reports for play in plays]
+    for harness, report in zip(plays, ({"inflight": 3.0, "util": 0.5}, load), strict=True):
+        [attempt] = started_attempts(harness.send_request())
+        harness.end_attempt(attempt, load_report=report)
+    invalid_counts = [harness.gateway.cluster.outliers.invalid_load_reports for harness in plays]
     assert invalid_counts == [0, 1]
-    states = [play.gateway.handover_state(play.now) for play in plays]
+    states = [harness.gateway.handover_state(harness.now) for harness in plays]
     assert states[0] == states[1]
     assert started_attempts(plays[0].send_request(0.1)) == started_attempts(plays[1].send_request(0.1))
 
@@ -775,10 +775,14 @@
 
 
 def test_the_count_of_avoided_endpoints_agrees_with_the_metrics() -> None:
-    play = GatewayHarness(UNLIMITED)
-    ejected_b0(play)
-    assert play.gateway.cluster.load_balancer.avoided_count(play.now) == play.gateway.health()["health.ejected"] == 1
-    assert play.gateway.cluster.endpoints.by_id["b0"].health.unhealthy_log_odds(0.01) >= EJECTION_LOG_ODDS
+    harness = GatewayHarness(UNLIMITED)
+    ejected_b0(harness)
+    assert (
+        harness.gateway.cluster.load_balancer.avoided_count(harness.now)
+        == harness.gateway.health()["health.ejected"]
+        == 1
+    )
+    assert harness.gateway.cluster.endpoints.by_id["b0"].health.unhealthy_log_odds(0.01) >= EJECTION_LOG_ODDS
 
 
 @pytest.mark.parametrize("outcome", FAILURE_OUTCOMES)
--- a/tests/test_overage.py
+++ b/tests/test_overage.py
@@ -25,20 +25,20 @@
 
 def aged(settings: Settings) -> GatewayHarness:
     """Return a gateway older than the time in which a customer that exceeds its quota empties its burst."""
-    play = GatewayHarness(settings)
-    play.now += 3 * COSTLY.burst / COSTLY.rate
-    return play
+    harness = GatewayHarness(settings)
+    harness.now += 3 * COSTLY.burst / COSTLY.rate
+    return harness
 
 
-def first_requests(play: GatewayHarness, customers: int, gateway_count: int, plan: str = "basic") -> int:
+def first_requests(harness: GatewayHarness, customers: int, gateway_count: int, plan: str = "basic") -> int:
     """Return how many of `customers`, each seen for the first time, have their request forwarded."""
     passed = 0
     for number in range(customers):
         for sent in started_attempts(
-            play.send_request(0.0, customer=f"customer-{number}", gateway_count=gateway_count, plan=plan)
+            harness.send_request(0.0, customer=f"customer-{number}", gateway_count=gateway_count, plan=plan)
         ):
             passed += 1
-            play.end_attempt(sent, Outcome.OK, 0.0)
+            harness.end_attempt(sent, Outcome.OK, 0.0)
     return passed
 
 
@@ -86,25 +86,25 @@
 
 def test_a_plan_with_a_low_over_quota_cost_is_granted_where_a_costlier_one_is_rejected() -> None:
     cheap = replace(COSTLY, name="cheap", over_quota_cost=0.3)
-    play = aged(replace(SHARED, plans=(COSTLY, cheap)))
+    harness = aged(replace(SHARED, plans=(COSTLY, cheap)))
     passed = {"basic": 0, "cheap": 0}
     for number in range(400):
         plan = ("basic", "cheap")[number % 2]
         for sent in started_attempts(
-            play.send_request(0.0, customer=f"customer-{number}", gateway_count=200, plan=plan)
+            harness.send_request(0.0, customer=f"customer-{number}", gateway_count=200, plan=plan)
         ):
             passed[plan] += 1
-            play.end_attempt(sent, Outcome.OK, 0.0)
+            harness.end_attempt(sent, Outcome.OK, 0.0)
     assert passed["cheap"] == 200
     assert 40 < passed["basic"] < 160
 
 
 def test_rejected_overage_is_answered_immediately_with_the_time_until_its_refill() -> None:
-    play = aged(SHARED)
-    first_requests(play, customers=50, gateway_count=200)
+    harness = aged(SHARED)
+    first_requests(harness, customers=50, gateway_count=200)
     rejected = [
         action
-        for action in play.send_request(0.0, customer="new", gateway_count=200)
+        for action in harness.send_request(0.0, customer="new", gateway_count=200)
         if isinstance(action, RejectRequest)
     ]
     assert [rejection.reason for rejection in rejected] == ["advance"]
@@ -112,19 +112,22 @@
 
 
 def test_a_quota_at_a_single_gateway_is_never_limited_by_the_overage_budget() -> None:
-    play = GatewayHarness(replace(SHARED, gateway_count=1))
+    harness = GatewayHarness(replace(SHARED, gateway_count=1))
     for _ in range(30):
-        [sent] = started_attempts(play.send_request(10.0, gateway_count=1))  # a sixth of its rate
-        play.end_attempt(sent, Outcome.OK, 0.0)
+        [sent] = started_attempts(harness.send_request(10.0, gateway_count=1))  # a sixth of its rate
+        harness.end_attempt(sent, Outcome.OK, 0.0)
 
 
 def test_changes_of_the_settings_grant_no_new_budget() -> None:
-    play = aged(SHARED)
-    first_requests(play, customers=200, gateway_count=200)
-    before = play.gateway.admission.overage_budget.level, play.gateway.admission.overage_budget.grant_rate
+    harness = aged(SHARED)
+    first_requests(harness, customers=200, gateway_count=200)
+    before = harness.gateway.admission.overage_budget.level, harness.gateway.admission.overage_budget.grant_rate
     for _ in range(20):
-        play.handle_after(0.0, SettingsChanged(SHARED))
-    assert (play.gateway.admission.overage_budget.level, play.gateway.admission.overage_budget.grant_rate) == before
+        harness.handle_after(0.0, SettingsChanged(SHARED))
+    assert (
+        harness.gateway.admission.overage_budget.level,
+        harness.gateway.admission.overage_budget.grant_rate,
+    ) == before
 
 
 def test_the_budget_is_at_most_the_cost_of_one_request_of_the_costliest_plan() -> None:
@@ -150,15 +153,15 @@
     """Guards against one attempt in flight at each gateway, if a customer sends one after each answer."""
     seconds = 400.0
     mean_duration = 0.5
-    play = GatewayHarness(
+    harness = GatewayHarness(
         replace(SETTINGS, gateway_count=gateway_count, plans=(Plan("basic", concurrency_limit=limit),))
     )
     time_in_flight = 0.0
-    while play.now < seconds:
-        for sent in started_attempts(play.send_request(0.0, gateway_count=gateway_count)):
-            play.end_attempt(sent, Outcome.OK, mean_duration)
+    while harness.now < seconds:
+        for sent in started_attempts(harness.send_request(0.0, gateway_count=gateway_count)):
+            harness.end_attempt(sent, Outcome.OK, mean_duration)
             time_in_flight += mean_duration
-        play.now += 0.05
+        harness.now += 0.05
     initial_budgets = CONCURRENCY_BUDGET_CAPACITY * gateway_count * mean_duration / seconds
     assert time_in_flight * gateway_count / seconds <= limit * 1.15 + initial_budgets
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -39,12 +39,12 @@
 
 def request_after(cls: RequestClass, outcome: Outcome | None) -> InFlightRequest:
     """Return a request whose only attempt, to b0 (zone a, cell 0), had this outcome, or is in flight if None."""
-    play = GatewayHarness(replace(SETTINGS, classes=(cls,)))
-    sent = started_attempts(play.send_request(request_class=cls.name))[0]
-    request = play.gateway.requests["r1"]
-    first_endpoint = tracked_endpoint(FLEET[0], play.now)
-    request.attempts = [Attempt(first_endpoint, play.now)]
-    request.may_have_run = [] if outcome is not None and outcome.never_ran else [Attempt(first_endpoint, play.now)]
+    harness = GatewayHarness(replace(SETTINGS, classes=(cls,)))
+    sent = started_attempts(harness.send_request(request_class=cls.name))[0]
+    request = harness.gateway.requests["r1"]
+    first_endpoint = tracked_endpoint(FLEET[0], harness.now)
+    request.attempts = [Attempt(first_endpoint, harness.now)]
+    request.may_have_run = [] if outcome is not None and outcome.never_ran else [Attempt(first_endpoint, harness.now)]
     if outcome is not None:
         request.in_flight.clear()
     assert sent.request_id == "r1"
@@ -96,81 +96,83 @@
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN_OUTCOMES)
 def test_an_unsafe_request_that_may_have_run_fails_and_is_never_rejected(outcome: Outcome) -> None:
-    play = GatewayHarness()
-    sent = started_attempts(play.send_request(request_class="pay"))[0]
-    after = play.end_attempt(sent, outcome, request_finished=outcome is Outcome.OK)
+    harness = GatewayHarness()
+    sent = started_attempts(harness.send_request(request_class="pay"))[0]
+    after = harness.end_attempt(sent, outcome, request_finished=outcome is Outcome.OK)
     assert not started_attempts(after)
     assert not any(isinstance(a, RejectRequest) for a in after)
 
 
 def test_every_request_has_one_answer_when_all_attempts_fail() -> None:
-    play = GatewayHarness(replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=1000.0, burst=1000.0),)))
+    harness = GatewayHarness(replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=1000.0, burst=1000.0),)))
     for n in range(60):
         attempt = 0
-        sent = started_attempts(play.send_request(0.2, request_class=("read", "order", "pay")[n % 3]))
+        sent = started_attempts(harness.send_request(0.2, request_class=("read", "order", "pay")[n % 3]))
         while sent:
-            sent = started_attempts(play.end_attempt(sent[0], Outcome.RESET, 0.01, attempt=attempt))
+            sent = started_attempts(harness.end_attempt(sent[0], Outcome.RESET, 0.01, attempt=attempt))
             attempt += 1
-    answered = [getattr(a, "request_id", "") for a in final_errors(play.actions)]
+    answered = [getattr(a, "request_id", "") for a in final_errors(harness.actions)]
     assert sorted(answered) == sorted({f"r{n}" for n in range(1, 61)})
-    assert not play.gateway.requests
+    assert not harness.gateway.requests
 
 
 def test_the_timeout_at_the_deadline_leads_to_the_final_answer() -> None:
-    play = GatewayHarness()
-    sent = started_attempts(play.send_request(time_left=2.0))[0]
+    harness = GatewayHarness()
+    sent = started_attempts(harness.send_request(time_left=2.0))[0]
     assert sent.timeout == pytest.approx(2.0)
-    assert len(final_errors(play.end_attempt(sent, Outcome.TIMEOUT, 2.0))) == 1
+    assert len(final_errors(harness.end_attempt(sent, Outcome.TIMEOUT, 2.0))) == 1
 
 
 def test_nothing_is_sent_for_a_finished_request() -> None:
-    play = GatewayHarness()
-    sent = started_attempts(play.send_request())[0]
-    assert play.handle_after(0.1, ClientDisconnected("r1")) == []
-    assert play.handle_after(0.1, ClientDisconnected("r1")) == []
-    assert play.end_attempt(sent, Outcome.CONNECT_FAILED) == []
-    assert play.handle_after(0.0, AttemptEnded("unknown", 0, "b0", Outcome.OK)) == []
+    harness = GatewayHarness()
+    sent = started_attempts(harness.send_request())[0]
+    assert harness.handle_after(0.1, ClientDisconnected("r1")) == []
+    assert harness.handle_after(0.1, ClientDisconnected("r1")) == []
+    assert harness.end_attempt(sent, Outcome.CONNECT_FAILED) == []
+    assert harness.handle_after(0.0, AttemptEnded("unknown", 0, "b0", Outcome.OK)) == []
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
 def test_a_draining_or_removed_endpoint_gets_no_more_requests(readiness: Readiness) -> None:
-    play = GatewayHarness()
+    harness = GatewayHarness()
     leaving = tuple(replace(entry, readiness=readiness) for entry in FLEET[:3])
-    play.handle_after(0.0, EndpointsChanged(EndpointListKind.UPDATE, leaving))
-    targets = {s.endpoint_id for _ in range(12) for s in started_attempts(play.send_request(0.5))}
+    harness.handle_after(0.0, EndpointsChanged(EndpointListKind.UPDATE, leaving))
+    targets = {s.endpoint_id for _ in range(12) for s in started_attempts(harness.send_request(0.5))}
     assert targets == {"b3"}
 
 
 def test_an_endpoint_missing_from_a_complete_list_is_removed_and_a_returning_one_is_used() -> None:
-    play = GatewayHarness()
-    play.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[:1]))
-    assert {s.endpoint_id for _ in range(6) for s in started_attempts(play.send_request(0.5))} == {"b0"}
-    play.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[1:2]))
-    assert {s.endpoint_id for s in started_attempts(play.send_request(0.5))} == {"b1"}
+    harness = GatewayHarness()
+    harness.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[:1]))
+    assert {s.endpoint_id for _ in range(6) for s in started_attempts(harness.send_request(0.5))} == {"b0"}
+    harness.handle_after(0.0, EndpointsChanged(EndpointListKind.REPLACE, FLEET[1:2]))
+    assert {s.endpoint_id for s in started_attempts(harness.send_request(0.5))} == {"b1"}
 
 
 def test_requests_are_rejected_immediately_if_the_endpoint_list_is_empty() -> None:
-    play = GatewayHarness(fleet=())
-    assert isinstance(play.send_request()[-1], RejectRequest)
+    harness = GatewayHarness(fleet=())
+    assert isinstance(harness.send_request()[-1], RejectRequest)
 
 
-def times_sent_to_cold_endpoint(play: GatewayHarness, seconds: float, interval: float) -> list[float]:
+def times_sent_to_cold_endpoint(harness: GatewayHarness, seconds: float, interval: float) -> list[float]:
     times = []
     while seconds > 0:
-        for sent in started_attempts(play.send_request(interval, customer=f"c{play.request_count % 200}")):
+        for sent in started_attempts(harness.send_request(interval, customer=f"c{harness.request_count % 200}")):
             if sent.endpoint_id == "cold":
-                times.append(play.now)
-            play.end_attempt(sent, Outcome.OK, 0.001)
+                times.append(harness.now)
+            harness.end_attempt(sent, Outcome.OK, 0.001)
         seconds -= interval
     return times
 
 
 def test_a_cold_endpoint_gets_a_share_of_the_load_of_a_warm_one() -> None:
-    play = GatewayHarness()
-    times_sent_to_cold_endpoint(play, 30.0, 0.05)
+    harness = GatewayHarness()
+    times_sent_to_cold_endpoint(harness, 30.0, 0.05)
     warm_rate = 20.0 / len(FLEET)
-    play.handle_after(0.0, EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("cold", "a", started_at=play.now),)))
-    times = times_sent_to_cold_endpoint(play, SETTINGS.overload_window * 2, 0.05)
+    harness.handle_after(
+        0.0, EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("cold", "a", started_at=harness.now),))
+    )
+    times = times_sent_to_cold_endpoint(harness, SETTINGS.overload_window * 2, 0.05)
     # Relative to a warm endpoint, this gateway may send the initial capacity times the overload factor; within two
     # overload windows the capacity grows by up to 0.16.
     max_requests = (
@@ -184,8 +186,8 @@
 
 
 def test_a_new_gateway_with_only_cold_endpoints_sends_few_requests_but_some() -> None:
-    play = GatewayHarness(fleet=(Endpoint("cold", "a", started_at=100.0),))
-    times = times_sent_to_cold_endpoint(play, 6.0, 0.02)
+    harness = GatewayHarness(fleet=(Endpoint("cold", "a", started_at=100.0),))
+    times = times_sent_to_cold_endpoint(harness, 6.0, 0.02)
     assert 1 <= len(times) <= 6 * SETTINGS.overload_factor * SETTINGS.slow_start_initial_capacity
 
 
@@ -193,48 +195,48 @@
 
 
 def test_the_ceiling_slice_is_empty_in_a_new_process_and_is_never_exceeded() -> None:
-    play = GatewayHarness(replace(SETTINGS, plans=(CAPPED,)))
+    harness = GatewayHarness(replace(SETTINGS, plans=(CAPPED,)))
     passed = 0
     for _ in range(200):
-        attempts = started_attempts(play.send_request(0.02))
+        attempts = started_attempts(harness.send_request(0.02))
         passed += len(attempts)
         for sent in attempts:
-            play.end_attempt(sent, Outcome.OK, 0.001)
-    assert passed <= CAPPED.ceiling_rate / 2 * (play.now - 100.0)
+            harness.end_attempt(sent, Outcome.OK, 0.001)
+    assert passed <= CAPPED.ceiling_rate / 2 * (harness.now - 100.0)
 
 
 def test_another_gateway_count_or_a_long_pause_does_not_refill_a_ceiling() -> None:
     slow = replace(CAPPED, rate=100.0, burst=100.0, ceiling_rate=0.02, ceiling_burst=8.0)
-    play = GatewayHarness(replace(SETTINGS, plans=(slow,)))
-    play.now += 10000.0
+    harness = GatewayHarness(replace(SETTINGS, plans=(slow,)))
+    harness.now += 10000.0
     passed = 0
     for n in range(300):
         if n % 20 == 0:
-            play.handle_after(65.0 if n == 100 else 0.0, TimerFired(0))
-        attempts = started_attempts(play.send_request(0.0, gateway_count=2 + n % 2))
+            harness.handle_after(65.0 if n == 100 else 0.0, TimerFired(0))
+        attempts = started_attempts(harness.send_request(0.0, gateway_count=2 + n % 2))
         passed += len(attempts)
         for sent in attempts:
-            play.end_attempt(sent, Outcome.OK, 0.001)
+            harness.end_attempt(sent, Outcome.OK, 0.001)
     assert passed <= 8.0 / 2 + 0.02 * 100
 
 
 def test_failed_discovery_calls_do_not_multiply_subscriptions() -> None:
-    play = GatewayHarness(replace(SETTINGS, polls_discovery=True, discovery_poll_deadline=10.0))
-    assert sum(isinstance(a, WatchEndpoints) for a in play.actions) == 1
+    harness = GatewayHarness(replace(SETTINGS, polls_discovery=True, discovery_poll_deadline=10.0))
+    assert sum(isinstance(a, WatchEndpoints) for a in harness.actions) == 1
     for _ in range(10):
-        play.handle_after(0.01, EndpointsChanged(EndpointListKind.UNAVAILABLE))
-    assert sum(isinstance(a, SetTimer) and a.token == 1 for a in play.actions) == 1
-    play.handle_after(3.0, TimerFired(1))
-    assert sum(isinstance(a, WatchEndpoints) for a in play.actions) == 2
-    assert started_attempts(play.send_request())  # the previous list still applies
+        harness.handle_after(0.01, EndpointsChanged(EndpointListKind.UNAVAILABLE))
+    assert sum(isinstance(a, SetTimer) and a.token == 1 for a in harness.actions) == 1
+    harness.handle_after(3.0, TimerFired(1))
+    assert sum(isinstance(a, WatchEndpoints) for a in harness.actions) == 2
+    assert started_attempts(harness.send_request())  # the previous list still applies
 
 
 def test_the_slow_start_budget_counts_work() -> None:
-    play = GatewayHarness()
-    latencies = play.gateway.cluster.latencies
+    harness = GatewayHarness()
+    latencies = harness.gateway.cluster.latencies
     latencies.mean_latencies = {"read": 0.1, "order": 0.1, "pay": 0.4}
-    assert started_attempts(play.send_request(request_class="pay"))
-    request = play.gateway.requests["r1"]
+    assert started_attempts(harness.send_request(request_class="pay"))
+    request = harness.gateway.requests["r1"]
     assert latencies.relative_work(request.request_class, request.units) == pytest.approx(2.0)
 
 
@@ -279,10 +281,10 @@
             gateway.handle(100.0, EndpointsChanged(EndpointListKind.RESTORED, listed))
             gateway.cluster.slow_start.work_rate = work_rate
             gateway.cluster.slow_start.work_rate_at = 100.0
-            play = GatewayHarness(SETTINGS)
-            play.send_request()
+            harness = GatewayHarness(SETTINGS)
+            harness.send_request()
             server = gateway.cluster.endpoints.by_id[cold.id]
-            request = play.gateway.requests["r1"]
+            request = harness.gateway.requests["r1"]
             work = gateway.cluster.latencies.relative_work(request.request_class, request.units)
             gateway.cluster.slow_start.allows(server, 100.0, work)
             if server.preferred:
@@ -294,9 +296,11 @@
 
 
 def test_the_time_that_a_request_waited_before_it_was_read_shortens_the_attempt() -> None:
-    play = GatewayHarness()
-    [send] = started_attempts(play.send_request(time_waited=1.5))
-    assert send.timeout == 2.5  # of 4 s
+    harness = GatewayHarness()
+    [attempt] = started_attempts(harness.send_request(time_waited=1.5))
+    assert attempt.timeout == 2.5  # of 4 s
     # The client is no longer waiting, so nothing is sent.
-    assert [action for action in final_errors(play.send_request(time_waited=4.0)) if isinstance(action, RejectRequest)]
-    assert not started_attempts(play.send_request(time_waited=5.0))
+    assert [
+        action for action in final_errors(harness.send_request(time_waited=4.0)) if isinstance(action, RejectRequest)
+    ]
+    assert not started_attempts(harness.send_request(time_waited=5.0))
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -233,14 +233,14 @@
 
                 idle_count = descriptor_count()
                 assert idle_count <= RESERVED_DESCRIPTORS
-                caller = await RespClient.connect(program.address)
+                client = await RespClient.connect(program.address)
                 for number in range(4 * SUBSET_SIZE):
-                    assert await caller.request(command(f"{number:016x}", customer=number)) == b"%016x" % number
+                    assert await client.request(command(f"{number:016x}", customer=number)) == b"%016x" % number
                 # There are one client connection, and one for a call to discovery that may be in progress.
                 assert descriptor_count() <= idle_count + 2 + SUBSET_SIZE
                 assert peer.connections <= SUBSET_SIZE
                 check_no_traceback(program)
-                caller.writer.close()
+                client.writer.close()
 
     run_async(body())
 
