--- a/ingress/observability/__init__.py
+++ b/ingress/observability/__init__.py
@@ -1,1 +1,1 @@
-"""What all ingresses of a fleet do together, read from their second addresses."""
+"""Monitoring of a fleet of ingresses: metrics polled from their second addresses, and reports on their logs."""
--- a/ingress/observability/exporter.py
+++ b/ingress/observability/exporter.py
@@ -1,4 +1,4 @@
-"""The metrics of a fleet in the OpenMetrics text format, for a metrics system that scrapes this program."""
+"""Export the metrics of a fleet in the OpenMetrics text format to a metrics system that scrapes this process."""
 
 from __future__ import annotations
 
@@ -17,25 +17,26 @@
 from ingress.observability.polling_loop import PollingPlan, poll_repeatedly
 from ingress.runtime.sockets import Address
 
-MAX_LABEL_VALUES = 200  # of one label beside the ingress: an ingress must not fill a metrics system
-OTHER = "other"  # what comes beyond counts under this
+# Limits the values of each label other than `ingress`, so that an ingress can't flood the metrics system with series.
+MAX_LABEL_VALUES = 200
+OTHER = "other"  # label value that sums all values over the limit
 
 
 class FamilySpec(NamedTuple):
-    """How a metric of an ingress is exported.
+    """Describe how a metric of an ingress is exported.
 
     Attributes:
-        pattern: of the names in the answer to `show-stat`; its group is the label's value.
-        name: of the family, without the prefix.
-        label: the name of the label; empty for none.
-        unit: what one unit in the answer is in the family's unit.
-        help: the family's meaning.
+        pattern: The regular expression of the metric names in the answer to `show-stat`; its group is the label value.
+        name: The name of the metric family, without the prefix.
+        label: The name of the label; empty for a family without one.
+        scale: The factor from the unit in the answer to the unit of the family.
+        help: The help text of the family.
     """
 
     pattern: str
     name: str
     label: str
-    unit: float
+    scale: float
     help: str
 
 
@@ -65,13 +66,17 @@
 
 
 class FleetCollector(Collector):
-    """The last answers of the ingresses; one that does not answer has `up` 0 and none of its old metrics."""
+    """Collects the metrics from the last answer of each ingress.
+
+    An ingress that did not answer the last poll is exported with `up` 0 and its number of restarts only, not with the
+    metrics of an earlier answer.
+    """
 
     def __init__(self, poller: Poller) -> None:
         self.poller = poller
 
     def collect(self) -> Iterator[Metric]:
-        """All families; from the client library, at each scrape."""
+        """Yield all metric families; the client library calls this at each scrape."""
         polled = list(self.poller.ingresses.values())
         up = GaugeMetricFamily(f"{PREFIX}up", "Whether the ingress answered last time.", labels=["ingress"])
         restarts = CounterMetricFamily(f"{PREFIX}restarts", "Starts anew that were seen.", labels=["ingress"])
@@ -81,12 +86,13 @@
         yield up
         yield restarts
         answering = [ingress for ingress in polled if ingress.state is PollState.OK]
-        yield _results(answering)
+        yield _request_family(answering)
         for spec in FAMILIES:
-            yield from _family(answering, spec)
+            yield from _metric_family(answering, spec)
 
 
-def _results(ingresses: Iterable[PolledIngress]) -> Metric:
+def _request_family(ingresses: Iterable[PolledIngress]) -> Metric:
+    """Return the requests by ingress, request class and result."""
     labels = ["ingress", "class", "result"]
     family = CounterMetricFamily(f"{PREFIX}requests", "Requests that have ended.", labels=labels)
     classes: set[str] = set()
@@ -94,22 +100,23 @@
         sums: dict[tuple[str, str], float] = {}
         for name, value in ingress.metrics.values.items():
             if found := RESULT.fullmatch(name):
-                key = _bounded(found[1], classes), found[2]
+                key = _bounded_label(found[1], classes), found[2]
                 sums[key] = sums.get(key, 0.0) + value
         for (request_class, result), value in sums.items():
             family.add_metric([ingress.name, request_class, result], value)
     return family
 
 
-def _bounded(value: str, seen: set[str]) -> str:
+def _bounded_label(value: str, seen: set[str]) -> str:
+    """Return the label value itself, or OTHER for a new one beyond MAX_LABEL_VALUES."""
     if value not in seen and len(seen) >= MAX_LABEL_VALUES:
         return OTHER
     seen.add(value)
     return value
 
 
-def _family(ingresses: Iterable[PolledIngress], spec: FamilySpec) -> Iterator[Metric]:
-    """The family, where any ingress has a metric of it; its type is that of the first one."""
+def _metric_family(ingresses: Iterable[PolledIngress], spec: FamilySpec) -> Iterator[Metric]:
+    """Yield the family if any ingress has a metric of it; the first such metric decides its type."""
     family: CounterMetricFamily | GaugeMetricFamily | None = None
     pattern = re.compile(spec.pattern)
     labels = ["ingress", *([spec.label] if spec.label else [])]
@@ -119,19 +126,23 @@
         for name, value in ingress.metrics.values.items():
             if found := pattern.fullmatch(name):
                 if family is None:
-                    make = CounterMetricFamily if name in ingress.metrics.counters else GaugeMetricFamily
-                    family = make(f"{PREFIX}{spec.name}", spec.help, labels=labels)
-                key = _bounded(found[1], values) if spec.label else ""
-                sums[key] = sums.get(key, 0.0) + value * spec.unit
+                    family_type = CounterMetricFamily if name in ingress.metrics.counters else GaugeMetricFamily
+                    family = family_type(f"{PREFIX}{spec.name}", spec.help, labels=labels)
+                key = _bounded_label(found[1], values) if spec.label else ""
+                sums[key] = sums.get(key, 0.0) + value * spec.scale
         for key, value in sums.items():
-            assert family is not None  # made with the first metric
+            assert family is not None  # created with the first metric that is added to `sums`
             family.add_metric([ingress.name, *([key] if spec.label else [])], value)
     if family is not None:
         yield family
 
 
 def serve(poller: Poller, address: Address) -> tuple[WSGIServer, threading.Thread]:
-    """Answers scrapes in a thread of its own; OSError where the address is taken."""
+    """Start answering scrapes in a separate thread.
+
+    Raises:
+        OSError: The address can't be listened on.
+    """
     registry = CollectorRegistry(auto_describe=False)
     registry.register(FleetCollector(poller))
     host, port = address
@@ -142,26 +153,26 @@
     poller: Poller,
     plan: PollingPlan,
     address: Address,
-    ready: Callable[[str, int], None],
-    complain: Callable[[str], None],
+    on_listening: Callable[[str, int], None],
+    warn: Callable[[str], None],
 ) -> None:
-    """Polls the fleet and answers scrapes with the last answers, until it is cancelled.
+    """Poll the fleet and answer scrapes from the latest answers until cancelled.
 
     Args:
-        poller: polls the fleet.
-        plan: how often.
-        address: where scrapes come; port 0 for any.
-        ready: is called with the address once it is open.
-        complain: is called with what is wrong with the file of addresses.
+        poller: The poller of the fleet.
+        plan: The address file and the period of the polls.
+        address: The address to listen on for scrapes; port 0 lets the system choose one.
+        on_listening: Called with host and port once the address is listened on.
+        warn: Called with the error when the address file can't be read later on.
 
     Raises:
-        OSError: the address is taken.
-        AddressListError: the file of addresses can't be read at the start.
+        OSError: The address can't be listened on.
+        AddressListError: The address file can't be read at the start.
     """
     server, thread = serve(poller, address)
     try:
-        ready(address[0], server.server_port)
-        await poll_repeatedly(poller, plan, lambda _: None, complain)
+        on_listening(address[0], server.server_port)
+        await poll_repeatedly(poller, plan, lambda _: None, warn)
     finally:
         await asyncio.to_thread(server.shutdown)
         server.server_close()
--- a/ingress/observability/log_reader.py
+++ b/ingress/observability/log_reader.py
@@ -1,7 +1,7 @@
-"""Reads the JSON logs of many ingresses (`EDGE_LOG=json` or `requests`) line by line, in bounded memory.
+"""Read the JSON logs of many ingresses (`EDGE_LOG=json` or `requests`) line by line, in bounded memory.
 
-A file is one ingress's, named after the file up to the first dot, so that rotated and compressed ones go together.
-What cannot be read is counted and does not end the reading.
+Each file belongs to one ingress, whose name is the file name up to the first dot, so that rotated and compressed files
+of an ingress are read as one log.  Lines and files that can't be read are counted, and reading continues.
 """
 
 from __future__ import annotations
@@ -21,23 +21,23 @@
 from ingress.runtime.metrics import RequestResult
 
 MAX_LINE_BYTES = 64 * 1024  # a longer line is malformed
-MAX_UNREADABLE = 20  # files that are named
-ENDS = tuple(end.value for end in RequestResult)  # events of the lines that tell how a request ended
-ATTEMPT = "attempt"  # event of the line of an attempt
+MAX_UNREADABLE = 20  # unreadable files that a report names
+RESULT_EVENTS = tuple(result.value for result in RequestResult)  # events of the lines that log the result of a request
+ATTEMPT_EVENT = "attempt"  # event of the lines that log an attempt
 
 
 class MalformedLineError(IngressError, ValueError):
-    """The line is not one of an ingress's log."""
+    """A line is not a valid line of an ingress log."""
 
 
 class LogLine(Struct, frozen=True):
     """One line of an ingress's log.
 
     Attributes:
-        ingress: whose log it is.
-        time: Unix time in s.
-        event: its text.
-        fields: all that it holds.
+        ingress: The name of the ingress that wrote the line.
+        time: The time of the line (Unix time in s).
+        event: The text of the line.
+        fields: All fields of the line, those above included.
     """
 
     ingress: str
@@ -47,20 +47,20 @@
 
     @property
     def is_request_line(self) -> bool:
-        """Whether it is one of the lines that `EDGE_LOG=requests` adds."""
+        """Whether the line is one of those that `EDGE_LOG=requests` adds."""
         return self.fields.get("logger") in REQUEST_LOGGERS
 
 
 class LogReader:
-    """Reads files and hands the lines of a window of time to `handle_line`.
+    """Reads log files and passes the lines within a time window to `handle_line`.
 
-    Times are Unix time in s; `start` is within the window, `end` is not.
+    Times are Unix time in s; `start` is inclusive, `end` exclusive.
 
     Attributes:
-        counts: lines read, outside the window and malformed; files that could not be read.
-        first: the time of the earliest line within the window.
-        last: the time of the latest.
-        unreadable: the first files that could not be read, each with the reason.
+        counts: The number of lines read, outside the window and malformed, and of files that could not be read.
+        first: The time of the earliest line within the window.
+        last: The time of the latest line within the window.
+        unreadable: The first MAX_UNREADABLE files that could not be read, each with the reason.
     """
 
     def __init__(self, start: float = float("-inf"), end: float = float("inf")) -> None:
@@ -72,11 +72,17 @@
         self.unreadable: list[str] = []
 
     def handle_line(self, line: LogLine) -> None:
-        """What a kind of report makes of a line; KeyError, TypeError or ValueError where the line is malformed."""
+        """Process a line; each kind of report overrides this.
+
+        Raises:
+            KeyError: A field that is needed is missing.
+            TypeError: A field has the wrong type.
+            ValueError: A field has an invalid value.
+        """
         raise NotImplementedError
 
     def read_file(self, path: Path) -> None:
-        """Reads a file; one that ends within a line, or within its compression, is read up to there."""
+        """Read a file; one that is truncated within a line or a compressed block is read up to there."""
         name = path.name.partition(".")[0]
         try:
             with gzip.open(path) if path.suffix == ".gz" else path.open("rb") as file:
@@ -87,13 +93,13 @@
             self.unreadable = [*self.unreadable, f"{path}: {error}"][:MAX_UNREADABLE]
 
     def read_line(self, ingress: str, text: bytes | None) -> None:
-        """Reads one line of an ingress's log; None for one that was too long."""
+        """Read one line of the log of an ingress; `text` is None for a line over MAX_LINE_BYTES."""
         try:
             line = _parse(ingress, text)
         except MalformedLineError:
             self.counts["broken lines"] += 1
             return
-        if not self.start <= line.time < self.end:  # also where the time is not a number
+        if not self.start <= line.time < self.end:  # also true for a time of NaN
             self.counts["lines outside the window"] += 1
             return
         self.counts["lines"] += 1
@@ -107,14 +113,14 @@
 
 def _parse(ingress: str, text: bytes | None) -> LogLine:
     try:
-        fields = json.loads(text or b"")
+        fields = json.loads(text or b"")  # fails for a line over MAX_LINE_BYTES
         return LogLine(ingress, float(fields["time"]), str(fields["event"]), fields)
     except (ValueError, TypeError, KeyError, OverflowError, RecursionError) as error:
         raise MalformedLineError(str(error)) from None
 
 
 def _lines(file: Any) -> Iterator[bytes | None]:
-    """Line by line in bounded memory: None for one that is too long."""
+    """Yield the lines of a file in bounded memory; None stands for a line over MAX_LINE_BYTES."""
     at_line_start = True
     while line := file.readline(MAX_LINE_BYTES):
         if at_line_start and (line.endswith(b"\n") or len(line) < MAX_LINE_BYTES):
@@ -125,15 +131,15 @@
 
 
 def log_files(paths: Iterable[Path]) -> list[Path]:
-    """The files themselves, and all below folders that are logs: `*.log*`.
+    """Return the given files, and all log files (`*.log*`) below the given folders, each once.
 
     Raises:
-        FileNotFoundError: for a path that is not there.
+        FileNotFoundError: A path does not exist.
     """
     found: dict[Path, None] = {}
     for path in paths:
         if path.is_dir():
-            found |= dict.fromkeys(sorted(one for one in path.rglob("*.log*") if one.is_file()))
+            found |= dict.fromkeys(sorted(file for file in path.rglob("*.log*") if file.is_file()))
         elif path.is_file():
             found[path] = None
         else:
@@ -141,7 +147,7 @@
     return list(found)
 
 
-def reading_as_text(counts: dict[str, int], unreadable: list[str]) -> Iterator[str]:
-    """For people: what was read, what could not be, and the first files among that."""
+def input_as_text(counts: dict[str, int], unreadable: list[str]) -> Iterator[str]:
+    """Yield lines of text on how much was read and which files could not be read."""
     yield "read: " + (", ".join(f"{count} {what}" for what, count in counts.items()) or "nothing")
     yield from (f"  {line}" for line in unreadable)
--- a/ingress/observability/log_report.py
+++ b/ingress/observability/log_report.py
@@ -1,6 +1,6 @@
-"""A report on a window of time from the logs of many ingresses, in one pass and bounded memory.
+"""Report on a time window from the logs of many ingresses, in one pass and bounded memory.
 
-With `EDGE_LOG=json` the logs tell of ejections and warnings; `requests` adds outcomes, attempts and endpoint lists.
+With `EDGE_LOG=json` the logs contain ejections and warnings; `requests` adds results, attempts and endpoint lists.
 """
 
 from __future__ import annotations
@@ -12,29 +12,31 @@
 from pathlib import Path
 from typing import Any, NamedTuple, TypeVar
 
-from ingress.observability.log_reader import ATTEMPT, ENDS, LogLine, LogReader, log_files, reading_as_text
+from ingress.observability.log_reader import ATTEMPT_EVENT, RESULT_EVENTS, LogLine, LogReader, input_as_text, log_files
 from ingress.observability.summary import outliers
 
-MAX_KEYS = 5_000  # endpoints, ingresses, list versions: what comes beyond counts as OTHER
+MAX_KEYS = (
+    5_000  # keys per table (endpoints, ingresses, ...): further ones are counted as OTHER; list versions left out
+)
 OTHER = "other"
-MAX_NAMED = 1024  # endpoints or ingresses in a list
-MAX_COUNTS = 50  # of one kind in the report
-MAX_SHOWN = 20  # of each list in the text for people
-MAX_EXAMPLES = 3  # lines that show what stands out
-MAX_EXAMPLE_LENGTH = 300  # characters
-MAX_OUTCOME_LENGTH = 20  # characters
-MAX_SIGHTINGS = 200_000  # times at which an ingress first saw a version
-MIN_LISTS = 3  # fewer tell nothing of an ingress
-MIN_OUTCOMES = 30  # fewer tell nothing of an endpoint or ingress
-OUTLIER_RATIO = 0.5  # of the median: so far away is what stands out, at the least
-EJECTED = re.compile(r"health (\S+): \w+ to ejected: ([^,]+)")
+MAX_LISTED = 1024  # endpoints or ingresses per list of the report
+MAX_COUNTS = 50  # counts per kind of key in the report
+MAX_PRINTED = 20  # entries per list in the text form of the report
+MAX_EXAMPLES = 3  # log lines that show why an endpoint or ingress is an outlier
+MAX_EXAMPLE_CHARACTERS = 300
+MAX_OUTCOME_CHARACTERS = 20  # an outcome of this length or more is counted as OTHER
+MAX_SIGHTINGS = 200_000  # stored times at which an ingress first saw a list version
+MIN_LISTS = 3  # with fewer list versions, missing ones are not compared between ingresses
+MIN_OUTCOMES = 30  # an endpoint or ingress with fewer is not compared with the others
+MIN_OUTLIER_DISTANCE_RATIO = 0.5  # minimum distance of an outlier from the median, as a share of the median
+EJECTION_EVENT = re.compile(r"health (\S+): \w+ to ejected: ([^,]+)")
 WARNING_LEVELS = ("warning", "error", "critical")
-NOT_FAILED = ("ok", "cancelled", "moot")  # outcomes of attempts
+NOT_FAILED_OUTCOMES = ("ok", "cancelled", "moot")
 Key = TypeVar("Key")
 
 
 class RequestEnd(NamedTuple):
-    """What is counted of requests."""
+    """The key by which ended requests are counted."""
 
     outcome: str
     reason: str
@@ -43,7 +45,7 @@
 
 
 class Subject:
-    """What the logs say of one ingress or endpoint."""
+    """The counts and example lines of one ingress or endpoint."""
 
     __slots__ = ("counts", "examples", "total_ms")
 
@@ -53,21 +55,21 @@
         self.examples: list[str] = []
 
     def add_example(self, text: str) -> None:
-        """Keeps a line that shows what is wrong, if there are few yet."""
+        """Keep a log line as an example of a fault, up to MAX_EXAMPLES."""
         if len(self.examples) < MAX_EXAMPLES:
-            self.examples.append(text[:MAX_EXAMPLE_LENGTH])
+            self.examples.append(text[:MAX_EXAMPLE_CHARACTERS])
 
 
 class LogReport(LogReader):
-    """Collects what was read so far.
+    """Counts what the logs contain, and builds the report.
 
     Attributes:
-        request_ends: requests by how they ended.
-        ejections: by endpoint and reason.
-        ingresses: by name.
-        endpoints: by id.
-        first_sightings: when each ingress first saw each version of the list (Unix time in s).
-        sighting_count: how many times are in there.
+        request_ends: The number of requests by result, reason, class and plan.
+        ejections: The number of ejections by endpoint and reason.
+        ingresses: The counts of each ingress, by name.
+        endpoints: The counts of each endpoint, by id.
+        first_sightings: The time (Unix time in s) at which each ingress first saw each version of the endpoint list.
+        sighting_count: The number of times in `first_sightings`.
     """
 
     def __init__(self, start: float = float("-inf"), end: float = float("inf")) -> None:
@@ -80,11 +82,11 @@
         self.sighting_count = 0
 
     def handle_line(self, line: LogLine) -> None:
-        """Counts one line."""
+        """Count one line."""
         ingress = _subject(self.ingresses, line.ingress)
         if line.is_request_line:
             self._handle_request_line(ingress, line)
-        elif ejected := EJECTED.match(line.event):
+        elif ejected := EJECTION_EVENT.match(line.event):
             _count(self.ejections, (ejected[1], ejected[2]), (OTHER, OTHER))
             ingress.counts["ejections"] += 1
             _subject(self.endpoints, ejected[1]).add_example(f"{line.ingress}: {line.event}")
@@ -93,9 +95,9 @@
             ingress.add_example(f"{line.ingress}: {line.event}")
 
     def _handle_request_line(self, ingress: Subject, line: LogLine) -> None:
-        if line.event in ENDS:
+        if line.event in RESULT_EVENTS:
             self._count_request(ingress, line.event, line.fields)
-        elif line.event == ATTEMPT:
+        elif line.event == ATTEMPT_EVENT:
             self._count_attempt(line.fields)
         elif line.event == "list":
             self._note_sighting(line.ingress, int(line.fields["version"]), line.time)
@@ -109,10 +111,10 @@
     def _count_attempt(self, fields: Mapping[str, Any]) -> None:
         outcome = str(fields["outcome"])
         endpoint = _subject(self.endpoints, str(fields["server"]))
-        is_known = outcome.isidentifier() and len(outcome) < MAX_OUTCOME_LENGTH
+        is_known = outcome.isidentifier() and len(outcome) < MAX_OUTCOME_CHARACTERS
         endpoint.counts[outcome if is_known else OTHER] += 1
         endpoint.total_ms += float(fields["ms"])
-        if outcome not in NOT_FAILED:
+        if outcome not in NOT_FAILED_OUTCOMES:
             endpoint.add_example(json.dumps(fields))
 
     def _note_sighting(self, ingress: str, version: int, at: float) -> None:
@@ -125,9 +127,9 @@
         times[ingress] = min(at, times.get(ingress, at))
 
     def result(self) -> dict[str, Any]:
-        """The report as plain data."""
+        """Return the report as plain data."""
         attempts = sum((endpoint.counts for endpoint in self.endpoints.values()), Counter[str]())
-        ejections = self.ejections.most_common(MAX_NAMED)
+        ejections = self.ejections.most_common(MAX_LISTED)
         return {
             "read": dict(self.counts),
             "unreadable": self.unreadable,
@@ -151,16 +153,16 @@
         return ends
 
     def _outliers(self) -> Iterator[dict[str, Any]]:
-        """Endpoints and ingresses that are far from the others, with the lines that show it."""
+        """Yield the endpoints and ingresses whose values are far from the median, with example lines."""
         compared = self._compared_endpoints() | self._compared_ingresses() | self._compared_sightings()
         for what, values in compared.items():
             subjects = self.endpoints if what.startswith("server") else self.ingresses
-            found = outliers(values, OUTLIER_RATIO)
+            found = outliers(values, MIN_OUTLIER_DISTANCE_RATIO)
             if not found:
                 continue
             middle = sorted(values.values())[len(values) // 2]
             farthest = sorted(found.items(), key=lambda item: -abs(item[1] - middle))
-            for name, value in farthest[:MAX_NAMED]:
+            for name, value in farthest[:MAX_LISTED]:
                 yield {
                     "what": what,
                     "who": name,
@@ -185,7 +187,7 @@
     def _compared_ingresses(self) -> dict[str, dict[str, float]]:
         values: dict[str, dict[str, float]] = defaultdict(dict)
         for name, ingress in self.ingresses.items():
-            total = sum(ingress.counts[end] for end in ENDS)
+            total = sum(ingress.counts[end] for end in RESULT_EVENTS)
             if total >= MIN_OUTCOMES:
                 values["ingress: share of requests that failed"][name] = ingress.counts["aborted"] / total
                 values["ingress: share of requests that were refused"][name] = ingress.counts["declined"] / total
@@ -206,17 +208,23 @@
 
 
 def _count(counter: Counter[Key], key: Key, other: Key) -> None:
+    """Count a key, or `other` for a new key beyond MAX_KEYS."""
     counter[key if key in counter or len(counter) < MAX_KEYS else other] += 1
 
 
 def _subject(subjects: dict[str, Subject], name: str) -> Subject:
+    """Return the subject of that name, or the one named OTHER for a new name beyond MAX_KEYS."""
     if name not in subjects and len(subjects) >= MAX_KEYS:
         name = OTHER
     return subjects.setdefault(name, Subject())
 
 
 def report_on(paths: Iterable[Path], start: float, end: float) -> dict[str, Any]:
-    """The report on a window of time (Unix time in s) as plain data; FileNotFoundError for a path not there."""
+    """Return the report on a time window (Unix time in s; `end` exclusive) as plain data.
+
+    Raises:
+        FileNotFoundError: A path does not exist.
+    """
     report = LogReport(start, end)
     for path in log_files(paths):
         report.read_file(path)
@@ -224,31 +232,33 @@
 
 
 def as_text(report: dict[str, Any]) -> Iterator[str]:
-    """The report for people."""
+    """Yield the lines of the report in text form."""
     if report["window"] is not None:
         start, end = report["window"]
         yield f"{report['ingresses']} ingresses, {report['servers']} servers, {end - start:.1f} s from {start:.3f} on"
-    yield from reading_as_text(report["read"], report["unreadable"])
+    yield from input_as_text(report["read"], report["unreadable"])
     for what, counts in report["ends"].items():
         if counts:
             yield f"requests by {what}: " + ", ".join(f"{count} {name}" for name, count in counts.items())
     if report["attempts"]:
         yield "attempts: " + ", ".join(f"{count} {name}" for name, count in report["attempts"].items())
-    yield f"versions of the list: {report['lists']}"
-    yield from _first(f"ejected {count} times: {name}" for name, count in report["ejections"].items())
+    yield f"endpoint list versions: {report['lists']}"
+    yield from _limited(f"ejected {count} times: {name}" for name, count in report["ejections"].items())
     if not report["stand_out"]:
         yield "nothing stands out"
-    yield from _first(map(_outlier_as_text, report["stand_out"]))
+    yield from _limited(map(_outlier_as_text, report["stand_out"]))
 
 
 def _outlier_as_text(outlier: dict[str, Any]) -> str:
-    what = f"{outlier['who']} stands out: {outlier['what']} is {outlier['value']:g}, the median {outlier['median']:g}"
+    what = (
+        f"{outlier['who']} stands out: {outlier['what']} is {outlier['value']:g}, the median is {outlier['median']:g}"
+    )
     return "\n  ".join([what, *outlier["lines"]])
 
 
-def _first(texts: Iterable[str]) -> Iterator[str]:
-    """The first of a list, and how many more there are."""
-    every = list(texts)
-    yield from every[:MAX_SHOWN]
-    if len(every) > MAX_SHOWN:
-        yield f"and {len(every) - MAX_SHOWN} more"
+def _limited(texts: Iterable[str]) -> Iterator[str]:
+    """Yield the first MAX_PRINTED texts, and the number of those left out."""
+    lines = list(texts)
+    yield from lines[:MAX_PRINTED]
+    if len(lines) > MAX_PRINTED:
+        yield f"and {len(lines) - MAX_PRINTED} more"
--- a/ingress/observability/poller.py
+++ b/ingress/observability/poller.py
@@ -1,4 +1,7 @@
-"""Polls ingresses for their metrics: bounded in rate and in concurrency; one that does not answer holds up none."""
+"""Poll ingresses for their metrics, with a bounded rate and concurrency.
+
+An ingress that does not answer delays the poll of no other ingress.
+"""
 
 from __future__ import annotations
 
@@ -16,34 +19,35 @@
 from ingress.runtime.sockets import MAX_PORT, Address
 
 MAX_ANSWER_BYTES = 256 * 1024
-RESPONSIVE_CALLS = 64  # under way at once, to ingresses that answered last time
-UNRESPONSIVE_CALLS = 16  # and to the others: these may all hang without slowing the first
+MAX_QUOTED_CHARACTERS = 60  # of a malformed line in an error message
+MAX_RESPONSIVE_CALLS = 64  # concurrent calls to ingresses that answered the last call
+MAX_UNRESPONSIVE_CALLS = 16  # concurrent calls to all others, which may all hang without delaying the responsive ones
 
 
 class PollState(Enum):
-    """How the last call of an ingress ended; the values are shown to operators."""
+    """The result of the last call to an ingress; the values are shown to operators."""
 
     NEW = "new"  # not called yet
     OK = "ok"
-    UNRESPONSIVE = "silent"  # no complete answer in time
-    UNREACHABLE = "refused"  # no connection, or it broke
-    MALFORMED = "nonsense"  # an answer that can't be read
+    UNRESPONSIVE = "silent"  # no complete answer within the timeout
+    UNREACHABLE = "refused"  # the connection was refused or failed
+    MALFORMED = "nonsense"  # the answer could not be parsed
 
 
 class MalformedAnswerError(IngressError):
-    """An answer that can't be read."""
+    """An answer of an ingress can't be parsed."""
 
 
 class AddressListError(IngressError):
-    """The addresses can't be used; the text names the place."""
+    """Addresses are missing or invalid; the message names the file or option, and the line where there is one."""
 
 
 class Metrics(Struct, frozen=True):
     """The answer to `show-stat`.
 
     Attributes:
-        values: by name.
-        counters: the names of those that count from the start of the process.
+        values: The value of each metric, by name.
+        counters: The names of the metrics that are counted from the start of the process.
     """
 
     values: dict[str, float] = field(default_factory=dict)
@@ -51,10 +55,14 @@
 
 
 def read_addresses(text: str, place: str) -> list[Address]:
-    """Reads one HOST:PORT a line; blank lines and what follows # are passed over.
+    """Return the addresses of a text with one HOST:PORT per line, each once; ignore blank lines and `#` comments.
+
+    Args:
+        text: The text with the addresses.
+        place: The file or option that the text is from, for error messages.
 
     Raises:
-        AddressListError: names the line at fault.
+        AddressListError: A line is not HOST:PORT, or there is no address.
     """
     found: dict[Address, None] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -62,24 +70,28 @@
             continue
         host, _, port = word.rpartition(":")
         if not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port) <= MAX_PORT:
-            raise AddressListError(f"{place}:{number}: {word[:60]!r} is not HOST:PORT")
+            raise AddressListError(f"{place}:{number}: {word[:MAX_QUOTED_CHARACTERS]!r} is not HOST:PORT")
         found[host, int(port)] = None
     if not found:
-        raise AddressListError(f"{place}: no address in it")
+        raise AddressListError(f"{place}: contains no address")
     return list(found)
 
 
 def parse_metrics(text: str) -> Metrics:
-    """Reads the answer to `show-stat`; MalformedAnswerError where it is none."""
+    """Parse the answer to `show-stat`.
+
+    Raises:
+        MalformedAnswerError: The answer is incomplete, or a line is malformed or repeated.
+    """
     *lines, last = text.strip().split("\n")
     if last != "eof":
-        raise MalformedAnswerError("it does not end with eof")
+        raise MalformedAnswerError("the answer to show-stat does not end with a line 'eof'")
     values: dict[str, float] = {}
     counters = set()
     for line in lines:
         name, value, is_counter = _parse_metric(line)
         if name in values:
-            raise MalformedAnswerError(f"{name} stands there twice")
+            raise MalformedAnswerError(f"the answer to show-stat contains {name} twice")
         values[name] = value
         if is_counter:
             counters.add(name)
@@ -87,19 +99,33 @@
 
 
 def _parse_metric(line: str) -> tuple[str, float, bool]:
+    """Return the name and value of a metric, and whether it is a counter."""
     name, _, rest = line.rpartition(":")
-    figure, _, kind = rest.partition("|")
+    number, _, kind = rest.partition("|")
     try:
-        value = float(figure)
+        value = float(number)
     except ValueError:
-        raise MalformedAnswerError(f"{line[:60]!r} is no figure") from None
+        raise _malformed_metric(line) from None
     if not name or kind not in ("c", "g") or not isfinite(value) or (kind == "c" and value < 0):
-        raise MalformedAnswerError(f"{line[:60]!r} is no figure")
+        raise _malformed_metric(line)
     return name, value, kind == "c"
 
 
+def _malformed_metric(line: str) -> MalformedAnswerError:
+    quoted = repr(line[:MAX_QUOTED_CHARACTERS])
+    return MalformedAnswerError(
+        f"the answer to show-stat contains {quoted}; expected NAME:VALUE|c (a counter, not negative) or "
+        "NAME:VALUE|g, with a finite value"
+    )
+
+
 async def call_admin(address: Address, command: str) -> str:
-    """The answer to one command at a second address; OSError, or MalformedAnswerError for one without end."""
+    """Send a command to the second address of an ingress, and return the answer.
+
+    Raises:
+        OSError: The connection can't be opened, or fails.
+        MalformedAnswerError: The answer is longer than MAX_ANSWER_BYTES.
+    """
     reader, writer = await asyncio.open_connection(*address, limit=MAX_ANSWER_BYTES)
     try:
         writer.write(command.encode() + b"\n")
@@ -107,7 +133,7 @@
         while more := await reader.read(MAX_ANSWER_BYTES):
             data += more
             if len(data) > MAX_ANSWER_BYTES:
-                raise MalformedAnswerError("an answer without end")
+                raise MalformedAnswerError(f"the answer to {command} is longer than {MAX_ANSWER_BYTES} bytes")
     finally:
         writer.close()
         with contextlib.suppress(OSError):
@@ -116,16 +142,17 @@
 
 
 class PolledIngress:
-    """One second address, and its last answer.
+    """An ingress, polled at its second address.
 
     Attributes:
-        name: HOST:PORT.
-        state: how the last call ended.
-        error: what went wrong, for people.
-        metrics: of the last good answer.
-        rates: of the counters, a second, between the last two good answers.
-        answered_at: the time of the last good answer, by the loop's clock.
-        restarts: that were noticed.
+        address: The second address.
+        name: The second address as HOST:PORT.
+        state: The result of the last call.
+        error: The reason why the last call failed; empty if it succeeded.
+        metrics: The metrics in the last valid answer.
+        rates: The increase per second of each counter between the last two valid answers.
+        answered_at: The time of the last valid answer, by the clock of the event loop.
+        restarts: The number of process restarts that were detected.
     """
 
     def __init__(self, address: Address) -> None:
@@ -140,50 +167,61 @@
 
     @property
     def is_responsive(self) -> bool:
-        """Whether the last call was answered, or there was none yet."""
+        """Whether the last call succeeded, or the ingress has not been called yet."""
         return self.state in (PollState.NEW, PollState.OK)
 
     def apply_answer(self, text: str, now: float) -> None:
-        """Takes an answer to `show-stat`; MalformedAnswerError where it can't be read.
+        """Update the metrics and rates from an answer to `show-stat`.
 
-        A counter that is less than before belongs to another process, which has counted from 0 since its start: its
-        value is what came meanwhile.
+        A counter that has decreased shows that another process answers.  That process has counted from 0 since its
+        start, so the value itself is taken as the increase since the last answer.
+
+        Raises:
+            MalformedAnswerError: The answer can't be parsed.
         """
         metrics = parse_metrics(text)
-        before = self.metrics.values
-        since = self.answered_at
-        restarted = any(metrics.values[name] < before[name] for name in metrics.counters & before.keys())
+        previous_values = self.metrics.values
+        previous_time = self.answered_at
+        restarted = any(
+            metrics.values[name] < previous_values[name] for name in metrics.counters & previous_values.keys()
+        )
         self.restarts += restarted
         self.rates = {}
-        if since is not None and now > since:
-            base = {} if restarted else before
+        if previous_time is not None and now > previous_time:
+            base = {} if restarted else previous_values
             self.rates = {
-                name: (metrics.values[name] - base.get(name, 0.0)) / (now - since) for name in metrics.counters
+                name: (metrics.values[name] - base.get(name, 0.0)) / (now - previous_time) for name in metrics.counters
             }
         self.metrics = metrics
         self.answered_at = now
 
 
 class Poller:
-    """Polls the ingresses at some addresses."""
+    """Polls a set of ingresses at their second addresses."""
 
     def __init__(self, timeout: float, rate: float) -> None:
-        """`timeout`: s for an answer; `rate`: calls a second, of all together."""
+        """Create a poller without addresses.
+
+        Args:
+            timeout: The time within which an ingress must answer (s).
+            rate: The maximum number of calls per second, to all ingresses together.
+        """
         self.timeout = timeout
         self.rate = rate
         self.ingresses: dict[Address, PolledIngress] = {}
-        self.responsive_slots = asyncio.Semaphore(RESPONSIVE_CALLS)
-        self.unresponsive_slots = asyncio.Semaphore(UNRESPONSIVE_CALLS)
-        self.calls: dict[PolledIngress, asyncio.Task[None]] = {}  # under way
+        self.responsive_slots = asyncio.Semaphore(MAX_RESPONSIVE_CALLS)
+        self.unresponsive_slots = asyncio.Semaphore(MAX_UNRESPONSIVE_CALLS)
+        self.calls: dict[PolledIngress, asyncio.Task[None]] = {}  # calls in progress
 
     def set_addresses(self, addresses: Iterable[Address]) -> None:
-        """Polls these from now on; what is known of those that stay is kept."""
-        self.ingresses = {one: self.ingresses.get(one) or PolledIngress(one) for one in addresses}
+        """Poll these addresses from now on; keep the state of the ingresses that were polled before."""
+        self.ingresses = {address: self.ingresses.get(address) or PolledIngress(address) for address in addresses}
 
     async def poll(self) -> None:
-        """Calls each ingress once, and waits for those that answered last time.
+        """Call each ingress once, and wait for those that answered the last call.
 
-        Answers of the others are there at a later poll; none is called while it has a call under way.
+        The calls to the others continue after this poll, and their answers are seen by a later one.  An ingress that
+        still has a call in progress is not called again.
         """
         loop = asyncio.get_running_loop()
         started_at = loop.time()
@@ -195,7 +233,8 @@
                 continue
             task = loop.create_task(self._poll_one(ingress, loop.time))
             self.calls[ingress] = task
-            task.add_done_callback(partial(self._end_call, ingress))  # also of one cancelled before it begins
+            # The callback also runs for a task that is cancelled before it starts.
+            task.add_done_callback(partial(self._end_call, ingress))
             if ingress.is_responsive:
                 awaited.append(task)
         await asyncio.gather(*awaited)
@@ -204,7 +243,7 @@
         del self.calls[ingress]
 
     async def close(self) -> None:
-        """Ends the calls that are under way."""
+        """Cancel the calls in progress, and wait until they have ended."""
         calls = list(self.calls.values())
         for call in calls:
             call.cancel()
@@ -218,8 +257,8 @@
                 ingress.apply_answer(text, clock())
             except TimeoutError:
                 ingress.state = PollState.UNRESPONSIVE
-                ingress.error = f"no whole answer within {self.timeout:g} s"
-            except (OSError, UnicodeError) as error:  # a host that is no name, too
+                ingress.error = f"no complete answer to show-stat within {self.timeout:g} s"
+            except (OSError, UnicodeError) as error:  # UnicodeError: the host can't be encoded as a host name
                 ingress.state = PollState.UNREACHABLE
                 ingress.error = getattr(error, "strerror", None) or type(error).__name__
             except MalformedAnswerError as error:
@@ -231,17 +270,21 @@
 
 
 class AddressFile:
-    """A file of addresses, read again when it has changed."""
+    """A file with addresses, which is read again when it has changed."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.last_stat = (0, 0, 0)
 
     def read_if_changed(self) -> list[Address] | None:
-        """The addresses, where the file is another than at the last call; AddressListError where it can't be read."""
+        """Return the addresses if the file has changed since the last call, otherwise None.
+
+        Raises:
+            AddressListError: The file can't be read, or its contents are invalid.
+        """
         try:
-            found = self.path.stat()
-            stat = (found.st_mtime_ns, found.st_size, found.st_ino)
+            status = self.path.stat()
+            stat = (status.st_mtime_ns, status.st_size, status.st_ino)
             if stat == self.last_stat:
                 return None
             text = self.path.read_text(encoding="utf-8")
--- a/ingress/observability/polling_loop.py
+++ b/ingress/observability/polling_loop.py
@@ -1,4 +1,4 @@
-"""Polls a fleet at a fixed period, and hands each summary on."""
+"""Poll a fleet periodically, and pass on a summary of each poll."""
 
 from __future__ import annotations
 
@@ -14,54 +14,64 @@
 
 
 class PollingPlan(Struct, frozen=True):
-    """What is polled, and how often.
+    """The source of the addresses and the schedule of the polls.
 
     Attributes:
-        file: where the addresses are, if they may change.
-        period: s from the start of one poll to that of the next, if it is over by then.
-        polls: how many; None without end.
+        address_file: The file with the addresses; None for addresses that don't change.
+        period_s: The time from the start of one poll to that of the next; a poll that takes longer delays the next.
+        polls: The number of polls; None for no limit.
     """
 
-    file: AddressFile | None
-    period: float
+    address_file: AddressFile | None
+    period_s: float
     polls: int | None = None
 
 
 async def poll_repeatedly(
-    poller: Poller, plan: PollingPlan, show: Callable[[dict[str, Any]], None], complain: Callable[[str], None]
+    poller: Poller, plan: PollingPlan, show: Callable[[dict[str, Any]], None], warn: Callable[[str], None]
 ) -> None:
-    """Polls as the plan says; `show` gets each summary, `complain` what is wrong with the file, once.
+    """Poll as planned, until all polls are done or the task is cancelled.
+
+    Args:
+        poller: The poller of the fleet, which is closed at the end.
+        plan: The address file and the schedule.
+        show: Called with the summary of each poll.
+        warn: Called when the address file can't be read; not again while the error stays the same.
 
     Raises:
-        AddressListError: the file can't be read at the start; later on that changes nothing.
+        AddressListError: The file can't be read while no address is known; later on, the last addresses are kept.
     """
     try:
-        await _poll_repeatedly(poller, plan, show, complain)
+        await _poll_repeatedly(poller, plan, show, warn)
     finally:
         await poller.close()
 
 
 async def _poll_repeatedly(
-    poller: Poller, plan: PollingPlan, show: Callable[[dict[str, Any]], None], complain: Callable[[str], None]
+    poller: Poller, plan: PollingPlan, show: Callable[[dict[str, Any]], None], warn: Callable[[str], None]
 ) -> None:
     loop = asyncio.get_running_loop()
-    complaint = ""
-    done = 0
-    while plan.polls is None or done < plan.polls:
+    last_error = ""
+    polls_done = 0
+    while plan.polls is None or polls_done < plan.polls:
         started_at = loop.time()
-        fault = _reread(poller, plan.file)
-        if fault and fault != complaint:
-            complain(fault)
-        complaint = fault
+        error = _reload_addresses(poller, plan.address_file)
+        if error and error != last_error:
+            warn(error)
+        last_error = error
         await poller.poll()
         show(summarize(poller.ingresses.values(), time.time()))
-        done += 1
-        if plan.polls is None or done < plan.polls:
-            await asyncio.sleep(max(0.0, started_at + plan.period - loop.time()))
+        polls_done += 1
+        if plan.polls is None or polls_done < plan.polls:
+            await asyncio.sleep(max(0.0, started_at + plan.period_s - loop.time()))
+
 
+def _reload_addresses(poller: Poller, file: AddressFile | None) -> str:
+    """Set the addresses if the file has changed; return why it could not be read, or an empty text.
 
-def _reread(poller: Poller, file: AddressFile | None) -> str:
-    """What is wrong with the file; empty if nothing is."""
+    Raises:
+        AddressListError: The file can't be read, and there are no earlier addresses to keep.
+    """
     if file is None:
         return ""
     try:
--- a/ingress/observability/quota_replay.py
+++ b/ingress/observability/quota_replay.py
@@ -1,9 +1,10 @@
-"""A report on the units that a fleet forwarded over its customers' quotas, from the logs of its ingresses.
+"""Report on the units that a fleet forwarded over its customers' quotas, from the logs of its ingresses.
 
-Each customer's quota is replayed as one token bucket over the whole fleet: full at first, it fills at the plan's rate
-up to its burst.  A forwarded request is within the quota if the bucket holds its units and fewer attempts of the
-customer are open than the plan's limit; then it takes its units.  A request over the quota takes nothing.  A second
-bucket takes all requests, forwarded or not: what one gateway that received all of them would admit.
+The quota of each customer is replayed as one token bucket for the whole fleet, which is full at first and is refilled
+at the rate of the plan up to its burst.  A forwarded request is within the quota if the bucket contains its units and
+the customer has fewer open attempts than the limit of the plan; it then takes its units.  A request over the quota
+takes nothing.  A second bucket is charged with all requests, forwarded or not, and shows what a single gateway that
+received all of them would admit.
 """
 
 from __future__ import annotations
@@ -22,63 +23,63 @@
 from ingress.observability.log_reader import log_files
 from ingress.observability.request_log import MAX_REQUESTS, Attempt, CustomerKey, FleetLog, Request
 
-MAX_CUSTOMERS = 10  # that are named
-MAX_EXAMPLES = 3  # requests beyond the quota that are named of each
-START_LOG_DELAY = 1.0  # s for which an ingress may receive requests before its log says that it serves
-DIGITS = 6  # after the point, of cost and weight
+MAX_LISTED_CUSTOMERS = 10
+MAX_EXAMPLES = 3  # requests over the quota that are listed per customer
+START_LOG_DELAY_S = 1.0  # an ingress may receive requests for this long before it logs that it serves
+DECIMAL_PLACES = 6  # of cost and weight
 
 
 class ProcessRuns:
-    """The runs of each ingress, from one start of its process to the next; times are Unix time in s."""
+    """The process runs of each ingress, each from one start to the next; times are Unix time in s."""
 
     def __init__(self, starts: Mapping[str, Sequence[float]], earliest: Mapping[str, float]) -> None:
         self.starts = {ingress: sorted(times) for ingress, times in starts.items()}
-        # An ingress that received requests before the first start in its log ran already when the log began.
+        # An ingress that received requests before the first start in its log was already running when the log began.
         self.running_before = {
             ingress
             for ingress, times in self.starts.items()
-            if ingress in earliest and earliest[ingress] < times[0] - START_LOG_DELAY
+            if ingress in earliest and earliest[ingress] < times[0] - START_LOG_DELAY_S
         }
 
     def restarts_before(self, ingress: str, at: float) -> int:
-        """How many times it had been started again by then, as far as its log tells."""
-        started = bisect_right(self.starts.get(ingress, ()), at)
-        return started if ingress in self.running_before else max(0, started - 1)
+        """Return how many times an ingress had restarted by a time, according to its log."""
+        start_count = bisect_right(self.starts.get(ingress, ()), at)
+        return start_count if ingress in self.running_before else max(0, start_count - 1)
 
 
 class OpenAttempts:
-    """The open attempts of one customer, from their start to before their end."""
+    """Counts the open attempts of one customer; an attempt is open from its start, inclusive, to its end, exclusive."""
 
     def __init__(self, spans: Iterable[tuple[float, float]] = ()) -> None:
-        lasting = [(start, end) for start, end in spans if start < end]
-        self.starts = sorted(start for start, _ in lasting)
-        self.ends = sorted(end for _, end in lasting)
+        nonempty = [(start, end) for start, end in spans if start < end]
+        self.starts = sorted(start for start, _ in nonempty)
+        self.ends = sorted(end for _, end in nonempty)
 
     def count(self, at: float) -> int:
-        """How many are open at a time."""
+        """Return the number of attempts that are open at a time."""
         return bisect_left(self.starts, at) - bisect_right(self.ends, at)
 
 
 class Tally(Struct):
-    """Requests, and their units."""
+    """A number of requests and the sum of their units."""
 
     requests: int = 0
     units: float = 0.0
 
     def add(self, units: float) -> None:
-        """Counts one request."""
+        """Count one request."""
         self.requests += 1
         self.units += units
 
 
 class Origin(Struct):
-    """Units over the quota by what they came from.
+    """Units over the quota, by the kind of request that they belong to.
 
     Attributes:
-        first_request: of first requests of a customer at an ingress since its start.
-        later_request: of later ones.
-        after_restart: of both, at an ingress that had restarted.
-        first_after_restart: of those, of first requests.
+        first_request: The units of the first request of a customer at an ingress since the start of its process.
+        later_request: The units of later requests.
+        after_restart: The units of first and later requests at an ingress that had restarted.
+        first_after_restart: The part of `after_restart` that belongs to first requests.
     """
 
     first_request: float = 0.0
@@ -87,7 +88,7 @@
     first_after_restart: float = 0.0
 
     def add(self, units: float, *, first: bool, restarted: bool) -> None:
-        """Counts the units of one request."""
+        """Count the units of one request."""
         if first:
             self.first_request += units
         else:
@@ -112,22 +113,22 @@
         "ingresses_over_quota": "ingresses_beyond",
     },
 ):
-    """What a plan's customers requested and got.  Cost and weight are by the plan's weight factor.
+    """The requests of a plan's customers and their results.  Cost and weight include the plan's weight factor.
 
     Attributes:
-        plan: its name.
-        asked: all requests.
-        forwarded: those that had an attempt.
-        over_quota: of those, the ones over the quota.
-        rejected: those with a rejection as their answer.
-        over_quota_cost: what the requests over the quota cost.
-        within_quota_weight: of the requests that one gateway which received all would admit.
-        within_quota_retry_weight: of it, that of requests marked as retries.
-        over_quota_cost_share: the cost as a share of the weight; None where there is none.
-        origin: what the units over the quota came from.
-        customers: with any request.
-        customers_over_quota: with any forwarded over the quota.
-        ingresses_over_quota: that forwarded any over the quota.
+        plan: The name of the plan.
+        asked: All requests.
+        forwarded: The requests that had an attempt.
+        over_quota: The forwarded requests that were over the quota.
+        rejected: The requests that were answered with a rejection.
+        over_quota_cost: The cost of the requests over the quota.
+        within_quota_weight: The weight of the requests that a single gateway which received all of them would admit.
+        within_quota_retry_weight: The part of `within_quota_weight` that belongs to requests marked as retries.
+        over_quota_cost_share: `over_quota_cost` as a share of `within_quota_weight`; None if that is 0.
+        origin: The units over the quota, by the kind of request.
+        customers: The number of customers with any request.
+        customers_over_quota: The number of customers with any forwarded request over the quota.
+        ingresses_over_quota: The number of ingresses that forwarded any request over the quota.
     """
 
     plan: str
@@ -146,23 +147,23 @@
 
 
 class Example(Struct, frozen=True):
-    """A request over the quota."""
+    """A forwarded request over the quota."""
 
     id: str
     ingress: str
 
 
 class CustomerReport(Struct, rename={"gateway_count": "spread", "forwarded": "sent_on", "over_quota": "beyond"}):
-    """A customer some of whose units were over its quota.
+    """A customer whose forwarded requests were partly over its quota.
 
     Attributes:
-        plan: the name of its plan.
-        customer: its id.
-        gateway_count: ingresses that it may use, the most that its requests told.
-        forwarded: its requests that had an attempt.
-        over_quota: of those, the ones over the quota.
-        ingresses: that forwarded any of its requests.
-        examples: the first requests over the quota.
+        plan: The name of its plan.
+        customer: The id of the customer.
+        gateway_count: The number of ingresses that it may use; the largest number given by its requests.
+        forwarded: The requests that had an attempt.
+        over_quota: The forwarded requests that were over the quota.
+        ingresses: The names of the ingresses that forwarded any of its requests.
+        examples: The first requests over the quota.
     """
 
     plan: str
@@ -175,16 +176,16 @@
 
 
 class QuotaReport(Struct, rename={"counts": "read", "unmatched_attempts": "attempts_of_no_request"}):
-    """The report on a fleet.
+    """The report on the quotas of a fleet.
 
     Attributes:
-        counts: of the lines that were read.
-        unreadable: files that could not be read.
-        requests: how many.
-        ingresses: how many received any.
-        unmatched_attempts: attempts of no request in these logs, which no limit of attempts counts.
-        plans: all of the settings.
-        customers: those with the most units over their quotas.
+        counts: The number of lines and files that were read or could not be read, by kind.
+        unreadable: The first files that could not be read, each with the reason.
+        requests: The number of requests.
+        ingresses: The number of ingresses that received any request.
+        unmatched_attempts: The number of attempts whose request is not in these logs; they are not counted as open.
+        plans: The reports on all plans of the settings.
+        customers: The customers with the most units over their quotas.
     """
 
     counts: dict[str, int]
@@ -196,33 +197,35 @@
     customers: list[CustomerReport]
 
     def as_plain_data(self) -> dict[str, Any]:
-        """The report as it is printed as JSON."""
-        found: dict[str, Any] = to_builtins(self)
-        return found
+        """Return the report as plain data, with the keys of its JSON form."""
+        plain_data: dict[str, Any] = to_builtins(self)
+        return plain_data
 
 
 class CustomerReplay:
-    """Replays the quota of one customer over its requests in order of time, and adds to its plan's report."""
+    """Replays the requests of one customer against its quota in order of arrival, for the report on its plan."""
 
     def __init__(self, report: CustomerReport, plan: Plan, attempts: OpenAttempts, runs: ProcessRuns) -> None:
         self.report = report
         self.plan = plan
         self.attempts = attempts
         self.runs = runs
-        self.seen_runs: set[tuple[str, int]] = set()  # ingress, and the number of its run
+        self.seen_runs: set[tuple[str, int]] = (
+            set()
+        )  # name of an ingress, and the number of its restarts before the run
         self.ingresses: set[str] = set()
         self.ingresses_over_quota: set[str] = set()
 
     def replay(self, requests: Sequence[Request], plan_report: PlanReport) -> None:
-        """Replays all its requests, of which there is one at the least."""
-        in_order = sorted(requests, key=lambda one: (one.arrival, one.ingress, one.id))
-        forwarded, requested = (
-            TokenBucket(self.plan.rate, self.plan.burst, self.plan.burst, in_order[0].arrival) for _ in range(2)
-        )
+        """Replay all requests of the customer; there must be at least one."""
+        in_order = sorted(requests, key=lambda request: (request.arrival, request.ingress, request.id))
+        first_arrival = in_order[0].arrival
+        forwarded_bucket = TokenBucket(self.plan.rate, self.plan.burst, self.plan.burst, first_arrival)
+        requested_bucket = TokenBucket(self.plan.rate, self.plan.burst, self.plan.burst, first_arrival)
         for request in in_order:
-            self._count_requested(request, requested, plan_report)
+            self._count_requested(request, requested_bucket, plan_report)
             if request.is_forwarded:
-                self._count_forwarded(request, forwarded, plan_report)
+                self._count_forwarded(request, forwarded_bucket, plan_report)
             self.seen_runs.add(self._run_of(request))
         self.report.ingresses = sorted(self.ingresses)
 
@@ -230,6 +233,7 @@
         return request.ingress, self.runs.restarts_before(request.ingress, request.arrival)
 
     def _take_if_within_quota(self, request: Request, bucket: TokenBucket) -> bool:
+        """Take the units of a request from the bucket if it is within the quota; return whether it is."""
         limit = self.plan.concurrency_limit
         if limit and self.attempts.count(request.arrival) >= limit:
             return False
@@ -266,7 +270,10 @@
 
 
 class AttemptIndex:
-    """Finds the customer of each attempt, whose log line names the request only, by an id that need not be new."""
+    """Assigns each attempt to a customer.
+
+    The log line of an attempt contains the id of the request only, and clients may use an id again.
+    """
 
     def __init__(self, log: FleetLog) -> None:
         self.unmatched = 0
@@ -277,8 +284,8 @@
         for key, requests in log.requests.items():
             for request in requests:
                 arrivals[request.ingress, request.id].append((request.arrival, key))
-        for found in arrivals.values():
-            found.sort()
+        for request_arrivals in arrivals.values():
+            request_arrivals.sort()
         for attempt in log.attempts:
             self._add(attempt, arrivals.get((attempt.ingress, attempt.request), ()))
 
@@ -286,14 +293,15 @@
         if not arrivals:
             self.unmatched += 1
             return
-        # Lines are written a moment after what they tell: an attempt may seem to begin before its request came.
-        place = max(0, bisect_right(arrivals, attempt.start, key=lambda one: one[0]) - 1)
-        arrival, key = arrivals[place]
+        # Lines are written slightly after the events that they log, and times are computed back from them, so that an
+        # attempt may appear to start before the arrival of its request.
+        index = max(0, bisect_right(arrivals, attempt.start, key=lambda one: one[0]) - 1)
+        arrival, key = arrivals[index]
         self.spans[key].append((max(arrival, attempt.start), attempt.end))
 
 
 def build_report(log: FleetLog) -> QuotaReport:
-    """The report on all that was read."""
+    """Return the report on the logs that were read."""
     plans = {name: PlanReport(name) for name in log.plans}
     runs = ProcessRuns(log.process_starts, log.first_arrivals)
     index = AttemptIndex(log)
@@ -312,7 +320,7 @@
             customers.append(replay.report)
     for name, plan_report in plans.items():
         plan_report.ingresses_over_quota = len(ingresses_over_quota[name])
-        _round(plan_report)
+        _round_weights(plan_report)
     return QuotaReport(
         counts=dict(log.counts),
         unreadable=log.unreadable,
@@ -320,28 +328,31 @@
         ingresses=len(log.first_arrivals),
         unmatched_attempts=index.unmatched,
         plans=list(plans.values()),
-        customers=_most_over_quota(customers),
+        customers=_customers_most_over_quota(customers),
     )
 
 
-def _round(report: PlanReport) -> None:
+def _round_weights(report: PlanReport) -> None:
+    """Set the cost share, and round cost and weights."""
     if report.within_quota_weight:
-        report.over_quota_cost_share = round(report.over_quota_cost / report.within_quota_weight, DIGITS)
-    report.over_quota_cost = round(report.over_quota_cost, DIGITS)
-    report.within_quota_weight = round(report.within_quota_weight, DIGITS)
-    report.within_quota_retry_weight = round(report.within_quota_retry_weight, DIGITS)
+        report.over_quota_cost_share = round(report.over_quota_cost / report.within_quota_weight, DECIMAL_PLACES)
+    report.over_quota_cost = round(report.over_quota_cost, DECIMAL_PLACES)
+    report.within_quota_weight = round(report.within_quota_weight, DECIMAL_PLACES)
+    report.within_quota_retry_weight = round(report.within_quota_retry_weight, DECIMAL_PLACES)
 
 
-def _most_over_quota(customers: Iterable[CustomerReport]) -> list[CustomerReport]:
-    return heapq.nsmallest(MAX_CUSTOMERS, customers, key=lambda one: (-one.over_quota.units, one.plan, one.customer))
+def _customers_most_over_quota(customers: Iterable[CustomerReport]) -> list[CustomerReport]:
+    return heapq.nsmallest(
+        MAX_LISTED_CUSTOMERS, customers, key=lambda one: (-one.over_quota.units, one.plan, one.customer)
+    )
 
 
 def report_on_quotas(paths: Iterable[Path], settings: Settings, max_requests: int = MAX_REQUESTS) -> QuotaReport:
-    """Reads logs and replays the quotas of these settings.
+    """Read logs, replay the quotas of the settings on them, and return the report.
 
     Raises:
-        TooManyRequestsError: the logs hold more than `max_requests`.
-        OSError: a path is not there.
+        TooManyRequestsError: The logs contain more requests than `max_requests`, or too many attempts.
+        FileNotFoundError: A path does not exist.
     """
     log = FleetLog(settings, max_requests)
     for path in log_files(paths):
--- a/ingress/observability/quota_text.py
+++ b/ingress/observability/quota_text.py
@@ -1,20 +1,20 @@
-"""The report on quotas as text for people."""
+"""Format the report on quotas as text."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 
-from ingress.observability.log_reader import reading_as_text
+from ingress.observability.log_reader import input_as_text
 from ingress.observability.quota_replay import CustomerReport, Origin, PlanReport, QuotaReport, Tally
 
-MAX_NAMED = 10  # ingresses of a customer
-DIGITS = 6  # after the point
+MAX_LISTED_INGRESSES = 10  # per customer
+DECIMAL_PLACES = 6
 
 
 def as_text(report: QuotaReport) -> Iterator[str]:
-    """The report for people, line by line."""
+    """Yield the lines of the report in text form."""
     yield f"{report.requests} requests at {report.ingresses} ingresses"
-    yield from reading_as_text(report.counts, report.unreadable)
+    yield from input_as_text(report.counts, report.unreadable)
     if report.unmatched_attempts:
         yield f"attempts of no request in these logs, left out: {report.unmatched_attempts}"
     for plan in report.plans:
@@ -58,7 +58,7 @@
 
 def _customer_as_text(customer: CustomerReport) -> Iterator[str]:
     used = customer.ingresses
-    names = ", ".join(used[:MAX_NAMED]) + (", ..." if len(used) > MAX_NAMED else "")
+    names = ", ".join(used[:MAX_LISTED_INGRESSES]) + (", ..." if len(used) > MAX_LISTED_INGRESSES else "")
     yield (
         f"customer {customer.customer} ({customer.plan}): beyond {_tally(customer.over_quota)} of "
         f"{_tally(customer.forwarded)} sent on, by {len(used)} ingresses, "
@@ -72,4 +72,4 @@
 
 
 def _number(value: float) -> str:
-    return f"{round(value, DIGITS):,.10g}"
+    return f"{round(value, DECIMAL_PLACES):,.10g}"
--- a/ingress/observability/request_log.py
+++ b/ingress/observability/request_log.py
@@ -1,7 +1,7 @@
-"""Holds what a report on quotas needs of the logs of many ingresses: requests, attempts and starts.
+"""Collect the requests, attempts and process starts in the logs of many ingresses, for the report on quotas.
 
-Requests of different ingresses have to be put in order of time, so all of them are held: memory grows with the logs, up
-to a limit of requests.  The logs have to be written with `EDGE_LOG=requests`.
+The requests of different ingresses must be sorted by time, so all of them are kept in memory, which grows with the logs
+up to a limit on the number of requests.  The logs must be written with `EDGE_LOG=requests`.
 """
 
 from __future__ import annotations
@@ -16,21 +16,23 @@
 
 from ingress.decisions.settings import Settings
 from ingress.errors import IngressError
-from ingress.observability.log_reader import ATTEMPT, ENDS, LogLine, LogReader
+from ingress.observability.log_reader import ATTEMPT_EVENT, RESULT_EVENTS, LogLine, LogReader
 from ingress.runtime.metrics import RequestResult
 
-MAX_REQUESTS = 2_000_000  # held, unless the caller says otherwise
-STARTED = re.compile(r".+ serves on \S+:\d+")
-START_LOGGERS = frozenset({"ingress.ingress", "mulleinhall.net.ingress"})  # of this build, of those before
+MAX_REQUESTS = 2_000_000  # default limit on the requests kept in memory
+START_EVENT = re.compile(r".+ serves on \S+:\d+")
+START_LOGGERS = frozenset(
+    {"ingress.ingress", "mulleinhall.net.ingress"}
+)  # of this build, and of builds before the package was renamed
 UNKNOWN_NAMES = "requests of a plan or class that the settings do not name"
 
 
 class TooManyRequestsError(IngressError):
-    """The logs hold more than may be held."""
+    """The logs contain more requests or attempts than the limit on what is kept in memory."""
 
 
 class RequestFields(Struct):
-    """What is needed of the line that tells how a request ended, by the names that stand there."""
+    """The fields that are needed of a log line with the result of a request, under the names in the log."""
 
     id: str
     request_class: str = field(name="class")
@@ -44,25 +46,25 @@
 
 
 class AttemptFields(Struct):
-    """What is needed of the line of an attempt."""
+    """The fields that are needed of the log line of an attempt, under the names in the log."""
 
     id: str
     ms: Annotated[float, Meta(ge=0, lt=1e9)]
 
 
 class Request(Struct, frozen=True, gc=False):
-    """A request, by the ingress that received it.
+    """A request at the ingress that received it.
 
     Attributes:
-        arrival: Unix time in s.
-        ingress: which received it.
-        id: as its client named it.
-        units: that it takes from the quota.
-        priority_weight: of its class and plan, by its units.
-        gateway_count: ingresses that share its customer's quota.
-        is_retry: its client marked it as a retry.
-        is_forwarded: it had an attempt.
-        is_rejected: its final answer was a rejection.
+        arrival: The time at which it arrived (Unix time in s).
+        ingress: The name of the ingress that received it.
+        id: The request id that the client chose.
+        units: The units that it takes from the quota.
+        priority_weight: The priority weight of its class, times the weight factor of its plan, times its units.
+        gateway_count: The number of ingresses that share the quota of its customer.
+        is_retry: Whether the client marked it as a retry.
+        is_forwarded: Whether it had at least one attempt.
+        is_rejected: Whether its final answer was a rejection.
     """
 
     arrival: float
@@ -77,7 +79,7 @@
 
 
 class Attempt(Struct, frozen=True, gc=False):
-    """An attempt of a request, from `start` to `end` (Unix, s)."""
+    """An attempt of a request, from `start` to `end` (Unix time in s)."""
 
     ingress: str
     request: str
@@ -93,17 +95,19 @@
 
 
 class FleetLog(LogReader):
-    """Holds the requests, the attempts and the starts of all ingresses.
+    """Collects the requests, the attempts and the process starts of all ingresses.
 
     Attributes:
-        plans: of the settings, by name.
-        class_weights: the priority weight of each class of the settings.
-        needs_attempts: a plan limits the attempts that are open at once.
-        requests: by customer.
-        request_count: of all customers.
-        attempts: in the order of the logs.
-        process_starts: of each ingress (Unix time in s).
-        first_arrivals: of a request at each ingress (Unix time in s).
+        max_requests: The limit on the number of requests.
+        max_attempts: The limit on the number of attempts.
+        plans: The plans of the settings, by name.
+        class_weights: The priority weight of each request class of the settings.
+        needs_attempts: Whether a plan limits the number of open attempts; otherwise attempts are not collected.
+        requests: The requests of each customer.
+        request_count: The number of requests of all customers.
+        attempts: The attempts, in the order of the logs.
+        process_starts: The times at which each ingress started (Unix time in s).
+        first_arrivals: The arrival of the first request at each ingress (Unix time in s).
     """
 
     def __init__(self, settings: Settings, max_requests: int) -> None:
@@ -111,7 +115,7 @@
         self.max_requests = max_requests
         self.max_attempts = max_requests * settings.max_attempts
         self.plans = {plan.name: plan for plan in settings.plans}
-        self.class_weights = {one.name: one.priority_weight for one in settings.classes}
+        self.class_weights = {request_class.name: request_class.priority_weight for request_class in settings.classes}
         self.needs_attempts = any(plan.concurrency_limit for plan in settings.plans)
         self.requests: dict[CustomerKey, list[Request]] = defaultdict(list)
         self.request_count = 0
@@ -120,14 +124,19 @@
         self.first_arrivals: dict[str, float] = {}
 
     def handle_line(self, line: LogLine) -> None:
-        """Keeps what a line tells; TooManyRequestsError where that is more than may be held."""
+        """Collect the request, the attempt or the process start that a line logs.
+
+        Raises:
+            TooManyRequestsError: The logs exceed the limit on requests or attempts.
+            ValueError: The time of the line is infinite, or a field is missing or invalid.
+        """
         if not isfinite(line.time):
-            raise ValueError("no time")
-        if line.is_request_line and line.event in ENDS:
+            raise ValueError(f"the time of a log line is not finite: {line.time}")
+        if line.is_request_line and line.event in RESULT_EVENTS:
             self._add_request(line)
-        elif line.is_request_line and line.event == ATTEMPT and self.needs_attempts:
+        elif line.is_request_line and line.event == ATTEMPT_EVENT and self.needs_attempts:
             self._add_attempt(line)
-        elif line.fields.get("logger") in START_LOGGERS and STARTED.fullmatch(line.event):
+        elif line.fields.get("logger") in START_LOGGERS and START_EVENT.fullmatch(line.event):
             self.process_starts[line.ingress].append(line.time)
 
     def _add_request(self, line: LogLine) -> None:
@@ -137,7 +146,7 @@
             return
         if self.request_count >= self.max_requests:
             raise TooManyRequestsError(
-                f"the logs hold more than {self.max_requests} requests: name fewer, or see --most-requests"
+                f"the logs contain more than {self.max_requests} requests; pass fewer logs or raise --most-requests"
             )
         self.request_count += 1
         ingress = intern(line.ingress)
@@ -162,6 +171,6 @@
         fields = convert(line.fields, AttemptFields)
         if len(self.attempts) >= self.max_attempts:
             raise TooManyRequestsError(
-                f"the logs hold more than {self.max_attempts} attempts: name fewer, or see --most-requests"
+                f"the logs contain more than {self.max_attempts} attempts; pass fewer logs or raise --most-requests"
             )
         self.attempts.append(Attempt(intern(line.ingress), fields.id, line.time - fields.ms / 1000, line.time))
--- a/ingress/observability/summary.py
+++ b/ingress/observability/summary.py
@@ -1,4 +1,4 @@
-"""Totals, rates, distribution and outliers of the metrics of a fleet."""
+"""Compute totals, rates, distribution and outliers of the metrics of a fleet."""
 
 from __future__ import annotations
 
@@ -9,24 +9,28 @@
 
 from ingress.observability.poller import PolledIngress, PollState
 
-OUTLIER_DISTANCE = 5.0  # times the usual distance from the median
-DEVIATION_RATIO = 1.4826  # of the median distance: the standard deviation of a normal distribution
-MIN_DISTANCE_RATIO = 0.1  # of the median: a shorter distance is none, however alike the others are
-MIN_DISTANCE = 3.0  # ms, entries, endpoints: and of values from 1 up at the least
-MAX_NAMED = 1024  # in a list of ingresses
-MIN_INGRESSES = 5  # fewer have no outlier
+OUTLIER_DEVIATIONS = 5.0  # distance of an outlier from the median, in estimated standard deviations
+# The standard deviation of a normal distribution, as a multiple of its median absolute deviation.
+DEVIATION_PER_MEDIAN_DISTANCE = 1.4826
+# Minimum distance of an outlier as a share of the median, however close together the other values are.  Also the
+# minimum distance itself where the median is below 1, as for shares.
+MIN_DISTANCE_RATIO = 0.1
+# Minimum distance of an outlier where the median is 1 or more, in the unit of the value: ms, list entries, endpoints.
+MIN_DISTANCE = 3.0
+MAX_LISTED = 1024  # entries per list of outliers or of ingresses whose last call failed
+MIN_INGRESSES = 5  # among fewer values, none is an outlier
 COMPARED_GAUGES = ("outstanding", "discovered", "ejected", "list.version", "list.age_ms", "connections.servers")
 
 
 def compared_values(ingress: PolledIngress) -> dict[str, float]:
-    """What is compared between ingresses: requests a second, shares of them, and some gauges."""
-    ends = {end: _rate_of_results(ingress, end) for end in ("succeeded", "declined", "aborted")}
-    total = sum(ends.values())
+    """Return the values to compare between ingresses: requests per second, shares of them, and some gauges."""
+    result_rates = {result: _result_rate(ingress, result) for result in ("succeeded", "declined", "aborted")}
+    total = sum(result_rates.values())
     values = {"requests_per_s": total} if ingress.rates else {}
     if total > 0:
         values |= {
-            "declined_share": ends["declined"] / total,
-            "aborted_share": ends["aborted"] / total,
+            "declined_share": result_rates["declined"] / total,
+            "aborted_share": result_rates["aborted"] / total,
             "attempts_per_request": ingress.rates.get("app.forwards", 0.0) / total,
         }
     for name in COMPARED_GAUGES:
@@ -35,28 +39,38 @@
     return values
 
 
-def _rate_of_results(ingress: PolledIngress, end: str) -> float:
+def _result_rate(ingress: PolledIngress, result: str) -> float:
+    """Return the rate of requests with this result, over all request classes."""
     return sum(
-        rate for name, rate in ingress.rates.items() if name.startswith("app.results.") and name.endswith("." + end)
+        rate for name, rate in ingress.rates.items() if name.startswith("app.results.") and name.endswith("." + result)
     )
 
 
 def outliers(values: dict[str, float], min_ratio: float = MIN_DISTANCE_RATIO) -> dict[str, float]:
-    """The values far from the median: by its median distance, and by `min_ratio` of it at the least."""
+    """Return the values that are far from the median.
+
+    The distance of an outlier is over OUTLIER_DEVIATIONS standard deviations, which are estimated from the median
+    absolute deviation so that the outliers don't raise the limit themselves.
+
+    Args:
+        values: The values of the ingresses or endpoints, by name.
+        min_ratio: The minimum distance of an outlier, as a share of the median.
+    """
     if len(values) < MIN_INGRESSES:
         return {}
     middle = median(values.values())
-    usual = DEVIATION_RATIO * median(abs(value - middle) for value in values.values())
-    least = max(min_ratio * abs(middle), MIN_DISTANCE if middle >= 1 else MIN_DISTANCE_RATIO)
-    limit = max(OUTLIER_DISTANCE * usual, least)
+    deviation = DEVIATION_PER_MEDIAN_DISTANCE * median(abs(value - middle) for value in values.values())
+    min_distance = max(min_ratio * abs(middle), MIN_DISTANCE if middle >= 1 else MIN_DISTANCE_RATIO)
+    limit = max(OUTLIER_DEVIATIONS * deviation, min_distance)
     return {name: value for name, value in values.items() if abs(value - middle) > limit}
 
 
 def summarize(ingresses: Iterable[PolledIngress], at: float) -> dict[str, Any]:
-    """One poll of the fleet as plain data; `at` is Unix time in s.
+    """Return the summary of a poll of the fleet as plain data; `at` is the time of the poll (Unix time in s).
 
-    Counters of processes add up, also where two of them are one ingress.  Gauges would count twice then, and are shown
-    by their distribution alone.
+    Counters are added up over all processes, also over two processes of one ingress.  Gauges of these would be counted
+    twice, so most gauges are summarized by their distribution only; `app.outstanding` is added up as well, because each
+    process counts its own requests.
     """
     polled = list(ingresses)
     answering = [ingress for ingress in polled if ingress.state is PollState.OK]
@@ -68,12 +82,12 @@
         key: {"least": min(values.values()), "median": median(values.values()), "most": max(values.values())}
         for key, values in compared.items()
     }
-    far = [
+    outlying = [
         {"ingress": name, "figure": key, "value": value, "median": spread[key]["median"]}
         for key, values in compared.items()
         for name, value in outliers(values).items()
     ]
-    unwell = [
+    failing = [
         {"ingress": ingress.name, "state": ingress.state.value, "why": ingress.error}
         for ingress in polled
         if ingress.state not in (PollState.OK, PollState.NEW)
@@ -87,10 +101,10 @@
         "totals": dict(sorted(_sum_totals(answering).items())),
         "rates": {name: round(rate, 3) for name, rate in sorted(rates.items())},
         "spread": spread,
-        "outliers": far[:MAX_NAMED],
-        "outliers_left_out": max(0, len(far) - MAX_NAMED),
-        "unwell": unwell[:MAX_NAMED],
-        "unwell_left_out": max(0, len(unwell) - MAX_NAMED),
+        "outliers": outlying[:MAX_LISTED],
+        "outliers_left_out": max(0, len(outlying) - MAX_LISTED),
+        "unwell": failing[:MAX_LISTED],
+        "unwell_left_out": max(0, len(failing) - MAX_LISTED),
     }
 
 
--- a/tests/test_fleet_poller.py
+++ b/tests/test_fleet_poller.py
@@ -194,7 +194,7 @@
 
 
 def test_a_look_does_not_wait_for_those_that_were_silent(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("ingress.observability.poller.UNRESPONSIVE_CALLS", 1)
+    monkeypatch.setattr("ingress.observability.poller.MAX_UNRESPONSIVE_CALLS", 1)
 
     async def body() -> None:
         async with scripted(answer(5)) as well, scripted(None) as one, scripted(None) as other:
