--- a/ingress/ingressctl/__init__.py
+++ b/ingress/ingressctl/__init__.py
@@ -1,1 +1,1 @@
-"""The command `ingressctl`: runs an ingress, plays fleets through failure, watches a fleet, reads its logs."""
+"""The command `ingressctl`: run an ingress, emulate fleets under faults, monitor a fleet, report on its logs."""
--- a/ingress/ingressctl/__main__.py
+++ b/ingress/ingressctl/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ingress.ingressctl` is the command `ingressctl`."""
+"""Run the command `ingressctl` as `python -m ingress.ingressctl`."""
 
 from ingress.ingressctl.main import main
 
--- a/ingress/ingressctl/experiments.py
+++ b/ingress/ingressctl/experiments.py
@@ -1,4 +1,4 @@
-"""Commands that play experiments and write their reports."""
+"""Commands that run experiments and write reports on them."""
 
 from __future__ import annotations
 
@@ -22,40 +22,40 @@
 from ingress.emulator.runner import Runner, Task
 from ingress.emulator.shrink import shrink, to_toml
 from ingress.emulator.versions import UnknownRevisionError
-from ingress.ingressctl.output import Status, err, log, out, show_broken_rules, show_figures, stop
+from ingress.ingressctl.output import Status, err, exit_with_error, log, out, show_broken_rules, show_figures
 
-RESULTS = Path("found")  # folder of all results, below the one where the command runs
+RESULTS_FOLDER = Path("found")  # relative to the working directory; has one folder per experiment
 MAX_JOBS = 256
 
 
 def read_experiment(path: Path) -> Experiment:
-    """Reads an experiment; ends the program with every fault of it."""
+    """Return the experiment in a file; if it is invalid, print every fault and exit."""
     try:
         return load_experiment(path)
     except ExperimentError as error:
-        stop(Status.BAD_INPUT, *error.faults)
+        exit_with_error(Status.BAD_INPUT, *error.faults)
 
 
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
-@click.option("--seed", type=int, help="Of this play; without it the experiment's first.")
+@click.option("--seed", type=int, help="Seed of this run; defaults to the first seed of the experiment.")
 @click.option("--json", "as_json", is_flag=True, help="Print the whole result as JSON.")
 @click.option(
     "--shrink",
-    "smaller",
+    "shrunk_path",
     type=click.Path(path_type=Path, dir_okay=False),
-    help="Where a rule breaks: write the smallest experiment found that still breaks it here.",
+    help="If a rule is violated, write the smallest experiment found that still violates it to this file.",
 )
-def emulate(file: Path, seed: int | None, as_json: bool, smaller: Path | None) -> None:
-    """Plays FILE once in simulated time, with the decisions of this work tree.
+def emulate(file: Path, seed: int | None, as_json: bool, shrunk_path: Path | None) -> None:
+    """Run the experiment FILE once in simulated time, with the decision modules of this work tree.
 
-    The same seed gives the same play, to the last event.
+    The same seed gives exactly the same run, event by event.
     """
     from ingress.emulator.world import Simulation
 
     experiment = read_experiment(file)
     if experiment.sockets:
-        stop(Status.BAD_INPUT, f"{file}: sockets = true: play it with `ingressctl experiment`")
+        exit_with_error(Status.BAD_INPUT, f"{file}: sockets = true; run it with `ingressctl experiment`")
     seed = experiment.seeds[0] if seed is None else seed
     world = Simulation(experiment, seed)
     signal.signal(signal.SIGINT, lambda *_: world.interrupt())
@@ -69,17 +69,17 @@
     if not result["exact"]["whole"]:
         sys.exit(Status.INTERRUPTED)
     if result["exact"]["broken"]:
-        if smaller is not None:
+        if shrunk_path is not None:
             rule = max(result["exact"]["broken"], key=result["exact"]["broken"].get)
             log.info("shrinks", rule=rule)
-            found = shrink(
+            smallest = shrink(
                 experiment,
                 rule,
-                lambda one: dict(Simulation(one, seed).run()["exact"]["broken"]),
+                lambda candidate: dict(Simulation(candidate, seed).run()["exact"]["broken"]),
                 report=lambda text: log.info("smaller", by=text),
             )
-            smaller.write_text(to_toml(found.model_copy(update={"seeds": [seed]})), encoding="utf-8")
-            click.echo(f"the smallest found: {smaller}")
+            shrunk_path.write_text(to_toml(smallest.model_copy(update={"seeds": [seed]})), encoding="utf-8")
+            click.echo(f"smallest experiment found: {shrunk_path}")
         sys.exit(Status.RULE_BROKEN)
 
 
@@ -89,36 +89,38 @@
     "--to",
     "folder",
     type=click.Path(path_type=Path, file_okay=False),
-    help="Folder of the results; without it one below found/, named after the experiment.",
+    help="Folder for the results; defaults to one named after the experiment, below found/.",
 )
 @click.option(
     "--jobs",
     type=click.IntRange(1, MAX_JOBS),
     default=max(1, (os.cpu_count() or 2) // 2),
     show_default=True,
-    help="Plays at once.  On real sockets one at a time is truest.",
+    help="Concurrent runs.  On real sockets, one at a time gives the most accurate results.",
 )
-@click.option("--quiet", is_flag=True, help="No progress bar.")
+@click.option("--quiet", is_flag=True, help="Don't show a progress bar.")
 def experiment(file: Path, folder: Path | None, jobs: int, quiet: bool) -> None:
-    """Plays every seed and version of FILE, and writes a report.
+    """Run every seed and version of the experiment FILE, and write a report.
 
-    Each play is kept as soon as it ends.  After an interruption the same command goes on where it stopped.
+    The result of each run is saved as soon as the run ends.  After an interruption, the same command continues with the
+    runs that are missing.
     """
     spec = read_experiment(file)
-    folder = folder or RESULTS / f"{''.join(c if c.isalnum() else '-' for c in spec.name)}-{spec.digest()}"
+    folder = folder or RESULTS_FOLDER / f"{''.join(c if c.isalnum() else '-' for c in spec.name)}-{spec.digest()}"
     try:
         results = Results(folder, spec)
         with tempfile.TemporaryDirectory() as trees:
-            status = asyncio.run(_plays(spec, results, Path(trees), jobs, quiet))
+            status = asyncio.run(_run_all(spec, results, Path(trees), jobs, quiet))
     except (ResultsError, UnknownRevisionError, OSError) as error:
-        stop(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.BAD_INPUT, str(error))
     if results.rows:
-        status = max(status, _summary(spec, results))
-        click.echo(f"report: {_report(folder)}")
+        status = max(status, _print_summary(spec, results))
+        click.echo(f"report: {_write_report(folder)}")
     sys.exit(status)
 
 
-async def _plays(spec: Experiment, results: Results, trees: Path, jobs: int, quiet: bool) -> int:
+async def _run_all(spec: Experiment, results: Results, trees: Path, jobs: int, quiet: bool) -> int:
+    """Run all seeds and versions that have no result yet; return the exit status."""
     bar = Progress(
         TextColumn("{task.description}"),
         BarColumn(),
@@ -144,39 +146,39 @@
     return Status.INTERRUPTED if runner.stopping else Status.FAILED if runner.failures else 0
 
 
-def _summary(spec: Experiment, results: Results) -> int:
-    """Prints figures and differences; the status that broken rules ask for."""
+def _print_summary(spec: Experiment, results: Results) -> int:
+    """Print the metrics and their differences between versions; return RULE_BROKEN if any rule was violated, else 0."""
     measured: dict[str, dict[int, dict[str, float]]] = {version.name: {} for version in spec.versions}
     broken: Counter[str] = Counter()
     for row in results.rows:
         measured[row["version"]][row["seed"]] = figures(row["result"], _first_fault(spec))
         broken.update(row["result"]["exact"]["broken"])
-    measured = {name: plays for name, plays in measured.items() if plays}
+    measured = {name: runs for name, runs in measured.items() if runs}
     show_figures(
         {
-            f"{name} ({len(plays)})": {key: sum(one[key] for one in plays.values()) / len(plays) for key in FIGURES}
-            for name, plays in measured.items()
+            f"{name} ({len(runs)})": {key: sum(run[key] for run in runs.values()) / len(runs) for key in FIGURES}
+            for name, runs in measured.items()
         }
     )
-    base, *others = measured
+    baseline, *others = measured
     for name in others:
         table = Table(
-            "figure",
-            base,
+            "metric",
+            baseline,
             name,
             "difference",
             "95% of resamples",
             "better on",
-            title=f"{name} beside {base}, paired by seed",
+            title=f"{name} beside {baseline}, paired by seed",
         )
-        for one in compare(measured[base], measured[name]):
+        for difference in compare(measured[baseline], measured[name]):
             table.add_row(
-                one.figure,
-                f"{one.before:.4g}",
-                f"{one.after:.4g}",
-                f"{one.after - one.before:+.4g}",
-                f"{one.low:+.4g} to {one.high:+.4g}" if one.pairs > 1 else "one pair",
-                f"{one.better} of {one.pairs}",
+                difference.figure,
+                f"{difference.before:.4g}",
+                f"{difference.after:.4g}",
+                f"{difference.after - difference.before:+.4g}",
+                f"{difference.low:+.4g} to {difference.high:+.4g}" if difference.pairs > 1 else "one pair",
+                f"{difference.better} of {difference.pairs}",
             )
         out.print(table)
     show_broken_rules(broken)
@@ -184,10 +186,11 @@
 
 
 def _first_fault(spec: Experiment) -> float:
+    """Return the time of the first fault (s from the start of the run), or 0 without faults."""
     return min((fault.at for fault in spec.faults), default=0.0)
 
 
-def _report(folder: Path) -> Path:
+def _write_report(folder: Path) -> Path:
     from ingress.emulator.report import make_report
 
     return make_report(folder)
@@ -195,19 +198,21 @@
 
 @click.command()
 @click.argument("folder", type=click.Path(path_type=Path, exists=True, file_okay=False))
-@click.option("--follow", metavar="ID", help="Follow one request through clients, ingresses and servers instead.")
+@click.option(
+    "--follow", metavar="ID", help="Instead, print the events of one request at clients, ingresses and servers."
+)
 def report(folder: Path, follow: str | None) -> None:
-    """Writes the report of the results in FOLDER: one page, and its plots beside it."""
+    """Write the report on the results in FOLDER: an HTML page and its plots, in the same folder."""
     if follow is not None:
-        from ingress.emulator.follow import follow as lines
+        from ingress.emulator.follow import follow as follow_request
 
-        found = list(lines(folder, follow))
-        if not found:
-            stop(Status.BAD_INPUT, f"no line of {folder} tells of {follow}")
-        for line in found:
+        lines = list(follow_request(folder, follow))
+        if not lines:
+            exit_with_error(Status.BAD_INPUT, f"no line in {folder} mentions request {follow}")
+        for line in lines:
             click.echo(line)
         return
     try:
-        click.echo(f"report: {_report(folder)}")
+        click.echo(f"report: {_write_report(folder)}")
     except (ResultsError, ExperimentError) as error:
-        stop(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.BAD_INPUT, str(error))
--- a/ingress/ingressctl/main.py
+++ b/ingress/ingressctl/main.py
@@ -1,4 +1,4 @@
-"""The group of all commands, and those that run an ingress and check files."""
+"""The command group, and the commands that run an ingress and check files."""
 
 from __future__ import annotations
 
@@ -12,21 +12,21 @@
 from ingress.ingressctl.fleet import exporter, fleet
 from ingress.ingressctl.logs import explain, quotas
 from ingress.ingressctl.measurements import load, power, recovery, upgrades
-from ingress.ingressctl.output import Status, configure_log, stop
+from ingress.ingressctl.output import Status, configure_log, exit_with_error
 
-EPILOG = """Status: 0 all is well, 1 a rule was broken, 2 the input is bad, 3 a play failed, 130 interrupted (what was
-measured is kept)."""
+EPILOG = """Status: 0 success, 1 a rule was violated, 2 invalid input, 3 a run or measurement failed, 130 interrupted
+(results measured so far are kept)."""
 
 
 @click.group(epilog=EPILOG, context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--log-json", is_flag=True, help="Tell what happens as JSON lines on standard error.")
+@click.option("--log-json", is_flag=True, help="Write the log to standard error as JSON lines.")
 def main(log_json: bool) -> None:
-    r"""Runs the ingress, and plays fleets of it through failure.
+    r"""Run an ingress, emulate fleets of ingresses under faults, and monitor fleets.
 
     \b
-    A first look:
-      ingressctl check experiments/zone.toml       is the file right?
-      ingressctl emulate experiments/zone.toml     one play in simulated time
+    To get started:
+      ingressctl check experiments/zone.toml       check the file
+      ingressctl emulate experiments/zone.toml     one run in simulated time
       ingressctl experiment experiments/zone.toml  all seeds and versions, with a report
     """
     configure_log(log_json)
@@ -35,9 +35,9 @@
 @click.command()
 @click.argument("config", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 def run(config: Path) -> None:
-    """Runs one ingress on CONFIG, a JSON file as the platform writes it.
+    """Run one ingress with CONFIG, a JSON file as the platform writes it.
 
-    The process becomes the ingress: SIGHUP reloads the file, SIGTERM drains and ends it.
+    The ingress replaces this process: SIGHUP reloads the file, SIGTERM drains and stops the ingress.
     """
     os.execve(sys.executable, [sys.executable, "-m", "ingress"], os.environ | {"EDGE_CONFIG": str(config)})
 
@@ -45,7 +45,7 @@
 @click.command()
 @click.argument("file", type=click.Path(path_type=Path, exists=True, dir_okay=False))
 def check(file: Path) -> None:
-    """Checks FILE: an ingress's configuration (.json) or an experiment (.toml).  Names every fault with its key."""
+    """Check FILE, an ingress configuration (.json) or an experiment (.toml), and list every fault with its key."""
     if file.suffix == ".json":
         from ingress.configuration.document import ConfigError, load_config
 
@@ -53,13 +53,13 @@
             for key in load_config(str(file)).unknown_keys:
                 click.echo(f"{key}: unknown, ignored")
         except ConfigError as error:
-            stop(Status.BAD_INPUT, *error.faults)
+            exit_with_error(Status.BAD_INPUT, *error.faults)
         return
     experiment = read_experiment(file)
-    where = "real sockets" if experiment.sockets else "simulated time"
+    medium = "real sockets" if experiment.sockets else "simulated time"
     click.echo(
         f"{experiment.name}: {len(experiment.seeds)} seed(s), {len(experiment.versions)} version(s), "
-        f"{experiment.seconds:g} s of {where}, {len(experiment.faults)} fault(s)"
+        f"{experiment.seconds:g} s of {medium}, {len(experiment.faults)} fault(s)"
     )
 
 
--- a/ingress/ingressctl/measurements.py
+++ b/ingress/ingressctl/measurements.py
@@ -1,4 +1,4 @@
-"""Commands that measure an ingress under load, upgrades, losses of power and recovery."""
+"""Commands that measure an ingress under load and upgrades, and recovery after crashes and power loss."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from rich.table import Table
 
 from ingress.emulator.versions import UnknownRevisionError, lay_out
-from ingress.ingressctl.output import Status, err, log, out, show_broken_rules, stop
+from ingress.ingressctl.output import Status, err, exit_with_error, log, out, show_broken_rules
 
 
 @click.command()
@@ -26,24 +26,24 @@
     type=click.FloatRange(0.1, 100_000),
     default=50.0,
     show_default=True,
-    help="First tries a second; they come at their times whatever is answered.",
+    help="New requests per second, retries not counted; sent on schedule whatever the answers are.",
 )
 @click.option("--seconds", type=click.FloatRange(0.1, 3600), default=10.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--retries", type=click.IntRange(0, 20), default=0, show_default=True)
 @click.option("--json", "as_json", is_flag=True, help="Print the whole result as JSON.")
 def load(config: Path, rate: float, seconds: float, seed: int, retries: int, as_json: bool) -> None:
-    """Sends an open load to the running ingress that CONFIG belongs to.
+    """Send an open-loop load to the running ingress that CONFIG belongs to.
 
-    Classes, plans and the address are those of the file.  Latency counts from the time at which a request was
-    meant to be sent, so that an ingress which stalls can't hide it.
+    Request classes, plans and the address are taken from the file.  Latency is measured from the scheduled time of a
+    request, so that a stall of the ingress shows in it.
     """
     from ingress.emulator.live.load import LoadTargetError, send_load
 
     try:
         result = send_load(config, rate, seconds, seed, retries)
     except LoadTargetError as error:
-        stop(Status.BAD_INPUT, *error.faults)
+        exit_with_error(Status.BAD_INPUT, *error.faults)
     if as_json:
         click.echo(json.dumps(result))
     else:
@@ -56,7 +56,7 @@
 
 def _show_load(result: dict[str, Any]) -> None:
     totals = result["exact"]["totals"]
-    table = Table("what", "count")
+    table = Table("quantity", "value")
     for key in sorted(totals):
         table.add_row(key, f"{totals[key]:g}")
     for key, value in result["exact"]["latency_ms"].get("request", {}).items():
@@ -75,7 +75,7 @@
     multiple=True,
     default=(2, 3, 8),
     show_default=True,
-    help="Processes of one ingress at once; may be given several times.",
+    help="Number of concurrent processes of one ingress; may be given several times.",
 )
 @click.option(
     "--upgrades",
@@ -83,40 +83,40 @@
     type=click.IntRange(0, 10_000),
     default=20,
     show_default=True,
-    help="Upgrades one after the other, under load.",
+    help="Number of consecutive upgrades under load.",
 )
 @click.option(
     "--clients",
     type=click.IntRange(1, 1000),
     default=5,
     show_default=True,
-    help="Connections of the load; the first belongs to a customer that asks more than its ceiling.",
+    help="Number of load connections; the first belongs to a customer that requests more than its ceiling.",
 )
 @click.option(
     "--from",
     "revision",
     default="",
     metavar="REV",
-    help="Every other process is of this git revision: upgrades from it and back to it.",
+    help="Run every other process from this git revision, to measure upgrades from it and back to it.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the whole result as JSON.")
 def upgrades(chains: tuple[int, ...], count: int, clients: int, revision: str, as_json: bool) -> None:
-    """Upgrades one ingress of real processes, stops and kills some, and says what that costs.
+    """Measure upgrades of one ingress with real processes, some of which are stopped or killed.
 
-    Times to settle are s until all processes show one view, in which one accepts.  Nothing may be lost, and no unit be
-    spent beyond the ceiling.
+    The time to settle (s) ends when all processes report the same membership, in which one leads and one accepts
+    connections.  No request may be lost, and no unit may be spent over the ceiling.
     """
     from ingress.emulator.live.ingress import NotReadyError
     from ingress.emulator.live.upgrades import UnsettledError, measure
 
     try:
         with tempfile.TemporaryDirectory() as trees:
-            before = lay_out(revision, Path(trees)) if revision else None
-            found = measure(list(chains), count, clients, lambda text: log.info(text), before)
+            before_tree = lay_out(revision, Path(trees)) if revision else None
+            found = measure(list(chains), count, clients, lambda text: log.info(text), before_tree)
     except UnknownRevisionError as error:
-        stop(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.BAD_INPUT, str(error))
     except (UnsettledError, NotReadyError, OSError) as error:
-        stop(Status.FAILED, str(error))
+        exit_with_error(Status.FAILED, str(error))
     if as_json:
         click.echo(json.dumps(found))
     else:
@@ -136,18 +136,26 @@
 
 
 @click.command()
-@click.option("--writes", type=click.IntRange(1, 10_000), default=24, show_default=True, help="Of the history.")
-@click.option("--seed", type=int, default=1, show_default=True, help="Of what is lost and torn.")
-@click.option("--lies", is_flag=True, help="The disk says that all is safe, and keeps nothing but by chance.")
+@click.option(
+    "--writes",
+    type=click.IntRange(1, 10_000),
+    default=24,
+    show_default=True,
+    help="Number of writes in the tested history.",
+)
+@click.option("--seed", type=int, default=1, show_default=True, help="Seed of which data is lost or torn.")
+@click.option(
+    "--lies", is_flag=True, help="Emulate a disk that confirms writes as durable but keeps them only by chance."
+)
 def power(writes: int, seed: int, lies: bool) -> None:
-    """Loses power under the list service's store, after every operation of its disk.
+    """Simulate a power loss of the list service's store after each of its disk operations.
 
-    On an honest disk nothing that was answered may be lost. On one that lies, the store has to be refused, set aside,
-    or in a state that was; on both, versions go on above all that were given.
+    On a disk that keeps its promises, nothing that was acknowledged may be lost. On one that doesn't, the store must be
+    refused, quarantined, or in an earlier state. On both, later versions must be above all versions handed out before.
     """
     from ingress.emulator.power import lose_power_at_each_step
 
-    logging.disable(logging.ERROR)  # what is set aside is counted here
+    logging.disable(logging.ERROR)  # quarantined stores are counted instead of logged
     with tempfile.TemporaryDirectory() as folder, Progress(console=err, transient=True) as bar:
         row = bar.add_task("operations", total=None)
         found = lose_power_at_each_step(Path(folder), writes, seed, lies, partial(_show_progress, bar, row))
@@ -168,13 +176,13 @@
     multiple=True,
     default=(10, 1_000, 100_000),
     show_default=True,
-    help="Customers of a checkpoint, entries of a list; may be given several times.",
+    help="Customers per checkpoint, and entries per endpoint list; may be given several times.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the result as JSON.")
 def recovery(sizes: tuple[int, ...], as_json: bool) -> None:
-    """Starts an ingress after a crash, and the list service, on kept states of each size.
+    """Start an ingress after a crash, and the list service, with saved states of each size.
 
-    Says how long it takes to the first answer, in seconds and in CPU, and what is held on disk and in memory.
+    Reports the time and the CPU time until the first answer, and the space used on disk and in memory.
     """
     from ingress.emulator.live.ingress import NotReadyError
     from ingress.emulator.live.recovery import TooSlowError, measure
@@ -182,11 +190,11 @@
     try:
         rows = measure(list(sizes))
     except (TooSlowError, NotReadyError, OSError) as error:
-        stop(Status.FAILED, str(error))
+        exit_with_error(Status.FAILED, str(error))
     if as_json:
         click.echo(json.dumps(rows))
         return
-    table = Table("start of", "size", "s", "CPU s", "on disk, kB", "memory, MB")
+    table = Table("start of", "size", "time, s", "CPU time, s", "on disk, kB", "memory, MB")
     for row in rows:
         table.add_row(
             row["what"],
--- a/ingress/ingressctl/output.py
+++ b/ingress/ingressctl/output.py
@@ -1,4 +1,4 @@
-"""What all commands share: exit statuses, consoles, the log, tables."""
+"""Output and exit statuses of all commands: consoles, log and tables."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Status(IntEnum):
-    """Exit statuses beside 0."""
+    """Exit statuses other than 0, which is success."""
 
     RULE_BROKEN = 1
     BAD_INPUT = 2
@@ -29,15 +29,15 @@
     INTERRUPTED = 130
 
 
-def stop(status: Status, *lines: str) -> NoReturn:
-    """Ends the program with lines on standard error."""
+def exit_with_error(status: Status, *lines: str) -> NoReturn:
+    """Print lines on standard error and exit."""
     for line in lines:
         err.print(line, markup=False, highlight=False, soft_wrap=True)
     sys.exit(status)
 
 
 def configure_log(as_json: bool) -> None:
-    """The log goes to standard error, as lines for people or as JSON."""
+    """Write the log to standard error, as readable lines or as JSON."""
     renderer: Any = structlog.processors.JSONRenderer() if as_json else structlog.dev.ConsoleRenderer()
     structlog.configure(
         processors=[
@@ -51,14 +51,14 @@
 
 
 def show_figures(columns: dict[str, dict[str, float]]) -> None:
-    """Prints a table of figures, a column a play or version."""
-    table = Table("figure", *columns, "meaning")
+    """Print a table of metrics with one column per run or version."""
+    table = Table("metric", *columns, "meaning")
     for key, (meaning, _) in FIGURES.items():
         table.add_row(key, *(f"{column[key]:.4g}" for column in columns.values()), meaning)
     out.print(table)
 
 
 def show_broken_rules(broken: Counter[str]) -> None:
-    """Prints how often each rule was broken."""
+    """Print how often each rule was violated."""
     for rule, count in sorted(broken.items()):
         click.echo(f"broken: {rule}, {count} times")
