--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -1,8 +1,8 @@
-"""The golden files: what an earlier build has written.
+"""The golden files, which contain what an earlier build has written.
 
-The files in `tests/golden/` never change.  A Python name that changes is changed in the tests, in the imports and in
-the few mappings; objects are built and compared by position, so that hardly any name of a field stands there.
-`python -m tests.golden_files` writes the files that are missing, and leaves those that are there.
+The files in `tests/golden/` never change.  When a Python name changes, only the imports and the few mappings in the
+tests follow: objects are built and compared by position, so that the tests use hardly any field names.
+`python -m tests.golden_files` writes the files that are missing, and keeps those that exist.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def plain(value: Any) -> Any:
-    """Values as JSON knows them; the fields of an object by position."""
+    """Return a value as JSON types, with the fields of an object by position."""
     if isinstance(value, Struct):
         kind = [KINDS[type(value)]] if type(value) in KINDS else []
         return [*kind, *map(plain, astuple(value))]
@@ -58,7 +58,7 @@
 
 
 def record(files: Iterable[tuple[str, bytes]]) -> None:
-    """Writes those that are not there; one that is read by a later one comes before it."""
+    """Write the files that don't exist; a file that a later one is generated from must precede it."""
     for name, data in files:
         path = GOLDEN / name
         if not path.exists():
--- a/tests/test_exporter.py
+++ b/tests/test_exporter.py
@@ -1,4 +1,4 @@
-"""What a metrics system reads of a fleet: parsed back from the text that it is given."""
+"""Tests of the exporter: what a metrics system parses from the exported text."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
 Sample = tuple[str, frozenset[tuple[str, str]]]
 
 
-def said(*figures: str, name: str = "a", state: PollState = PollState.OK) -> PolledIngress:
+def polled_ingress(*figures: str, name: str = "a", state: PollState = PollState.OK) -> PolledIngress:
     one = PolledIngress((name, 1))
     one.apply_answer("\n".join([*figures, "eof"]), 1.0)
     one.state = state
     return one
 
 
-def read(*ingresses: PolledIngress) -> dict[Sample, float]:
-    reader = Poller(1.0, 1.0)
-    reader.ingresses = {one.address: one for one in ingresses}
+def export_samples(*ingresses: PolledIngress) -> dict[Sample, float]:
+    poller = Poller(1.0, 1.0)
+    poller.ingresses = {one.address: one for one in ingresses}
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(FleetCollector(reader))
-    return samples(generate_latest(registry).decode())  # type: ignore[no-untyped-call]
+    registry.register(FleetCollector(poller))
+    return parse_samples(generate_latest(registry).decode())  # type: ignore[no-untyped-call]
 
 
-def samples(text: str) -> dict[Sample, float]:
+def parse_samples(text: str) -> dict[Sample, float]:
     found: dict[Sample, float] = {}
     for family in parse(text):  # type: ignore[no-untyped-call]
         for one in family.samples:
@@ -52,14 +52,14 @@
     return found
 
 
-def at(name: str, **labels: str) -> Sample:
-    every = {"ingress": "a:1"} | {key.rstrip("_"): value for key, value in labels.items()}
-    return f"mothdrift_{name}", frozenset(every.items())
+def sample(name: str, **labels: str) -> Sample:
+    all_labels = {"ingress": "a:1"} | {key.rstrip("_"): value for key, value in labels.items()}
+    return f"mothdrift_{name}", frozenset(all_labels.items())
 
 
-def test_each_figure_of_an_ingress_has_its_name_unit_and_kind() -> None:
-    found = read(
-        said(
+def test_each_metric_is_exported_with_its_name_unit_and_type() -> None:
+    found = export_samples(
+        polled_ingress(
             "app.results.schedule-read.succeeded:7|c",
             "app.results.schedule-read.declined:2|c",
             "app.forwards:9|c",
@@ -72,28 +72,32 @@
             "app.connections.servers:4|g",
         )
     )
-    assert found[at("up")] == 1 and found[at("restarts_total")] == 0
-    assert found[at("requests_total", class_="schedule-read", result="succeeded")] == 7
-    assert found[at("requests_total", class_="schedule-read", result="declined")] == 2
-    assert found[at("forwards_total")] == 9 and found[at("outstanding_requests")] == 3
-    assert found[at("turned_down_total", reason="quota")] == 2
-    assert found[at("list_age_seconds")] == 1.5
-    assert found[at("health_servers", state="healthy")] == 12
-    assert found[at("ejections_total", reason="timed_out")] == 1
-    assert found[at("open_connections", side="servers")] == 4
-    assert len(found) == 11  # the sum over all reasons is not said beside its parts
-
-
-def test_one_that_does_not_answer_is_down_and_says_nothing() -> None:
-    found = read(said("app.forwards:9|c"), said("app.forwards:8|c", name="b", state=PollState.UNRESPONSIVE))
-    assert found[at("up")] == 1 and found["mothdrift_up", frozenset({("ingress", "b:1")})] == 0
-    assert [key for key in found if key[0] == "mothdrift_forwards_total"] == [at("forwards_total")]
+    assert found[sample("up")] == 1 and found[sample("restarts_total")] == 0
+    assert found[sample("requests_total", class_="schedule-read", result="succeeded")] == 7
+    assert found[sample("requests_total", class_="schedule-read", result="declined")] == 2
+    assert found[sample("forwards_total")] == 9 and found[sample("outstanding_requests")] == 3
+    assert found[sample("turned_down_total", reason="quota")] == 2
+    assert found[sample("list_age_seconds")] == 1.5
+    assert found[sample("health_servers", state="healthy")] == 12
+    assert found[sample("ejections_total", reason="timed_out")] == 1
+    assert found[sample("open_connections", side="servers")] == 4
+    assert len(found) == 11  # the sum over all reasons is not exported in addition to its parts
+
+
+def test_an_ingress_that_does_not_answer_is_down_and_has_no_metrics() -> None:
+    found = export_samples(
+        polled_ingress("app.forwards:9|c"), polled_ingress("app.forwards:8|c", name="b", state=PollState.UNRESPONSIVE)
+    )
+    assert found[sample("up")] == 1 and found["mothdrift_up", frozenset({("ingress", "b:1")})] == 0
+    assert [key for key in found if key[0] == "mothdrift_forwards_total"] == [sample("forwards_total")]
 
 
-def test_labels_are_bounded_and_quoted_and_what_is_beyond_adds_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_label_values_are_limited_and_quoted_and_those_over_the_limit_are_summed(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(exporter, "MAX_LABEL_VALUES", 2)
-    found = read(
-        said(
+    found = export_samples(
+        polled_ingress(
             *(f"app.turned_down.r{n}:{n}|c" for n in range(1, 6)),
             *(f'app.results.c"{n}\\.succeeded:1|c' for n in range(4)),
         )
@@ -104,20 +108,20 @@
     assert classes == {'c"0\\': 1, 'c"1\\': 1, OTHER: 2}
 
 
-def test_names_keep_to_the_conventions() -> None:
+def test_metric_names_follow_the_conventions() -> None:
     names = [spec.name for spec in FAMILIES]
     assert len(set(names)) == len(names)
     assert not [name for name in names if name.endswith(("_total", "_ms", "_count", "_sum", "_bucket"))]
 
 
 def scrape(url: str) -> dict[Sample, float]:
-    asked = urllib.request.Request(url, headers={"Accept": "application/openmetrics-text; version=1.0.0"})
-    with urllib.request.urlopen(asked, timeout=10) as answer:
-        assert answer.headers["Content-Type"].startswith("application/openmetrics-text")
-        return samples(answer.read().decode())
+    request = urllib.request.Request(url, headers={"Accept": "application/openmetrics-text; version=1.0.0"})
+    with urllib.request.urlopen(request, timeout=10) as response:
+        assert response.headers["Content-Type"].startswith("application/openmetrics-text")
+        return parse_samples(response.read().decode())
 
 
-def test_a_scrape_tells_what_a_real_ingress_has_done() -> None:
+def test_a_scrape_returns_the_metrics_of_a_real_ingress() -> None:
     async def body() -> None:
         async with (
             fake_endpoint() as peer,
@@ -128,17 +132,18 @@
             caller = await RespClient.connect(address)
             for n in range(12):
                 assert await caller.request(command(f"{n:016x}")) == b"%016x" % n
-            reader, ports = Poller(2.0, 100.0), list[int]()
-            reader.set_addresses([second])
+            poller = Poller(2.0, 100.0)
+            ports: list[int] = []
+            poller.set_addresses([second])
             plan = PollingPlan(None, 0.05)
             exporting = asyncio.create_task(
-                export(reader, plan, ("127.0.0.1", 0), lambda _, port: ports.append(port), pytest.fail)
+                export(poller, plan, ("127.0.0.1", 0), lambda _, port: ports.append(port), pytest.fail)
             )
-            await wait_until(lambda: ports and all(one.state is PollState.OK for one in reader.ingresses.values()))
+            await wait_until(lambda: ports and all(one.state is PollState.OK for one in poller.ingresses.values()))
             found = await asyncio.to_thread(scrape, f"http://127.0.0.1:{ports[0]}/metrics")
             name = f"{second[0]}:{second[1]}"
-            mine = {key: value for key, value in found.items() if ("ingress", name) in key[1]}
-            assert mine == found
+            of_this_ingress = {key: value for key, value in found.items() if ("ingress", name) in key[1]}
+            assert of_this_ingress == found
             labels = frozenset({("ingress", name), ("class", "read"), ("result", "succeeded")})
             assert found["mothdrift_requests_total", labels] == 12
             assert found["mothdrift_forwards_total", frozenset({("ingress", name)})] == 12
@@ -149,17 +154,21 @@
     run_async(body())
 
 
-def test_all_that_an_ingress_reports_of_requests_is_told() -> None:
-    figures = Metrics(["read", "order"])
-    figures.record_received()
-    figures.record_result("order", RequestResult.ABORTED)
-    found = read(said(*figures.lines(5, 1, {"list.version": 3})))
+def test_all_request_metrics_of_an_ingress_are_exported() -> None:
+    metrics = Metrics(["read", "order"])
+    metrics.record_received()
+    metrics.record_result("order", RequestResult.ABORTED)
+    found = export_samples(polled_ingress(*metrics.lines(5, 1, {"list.version": 3})))
     assert sum(value for (name, _), value in found.items() if name == "mothdrift_requests_total") == 1
-    assert found[at("requests_total", class_="order", result="aborted")] == 1
-    assert found[at("discovered_servers")] == 5 and found[at("avoided_servers")] == 1 and found[at("list_version")] == 3
+    assert found[sample("requests_total", class_="order", result="aborted")] == 1
+    assert (
+        found[sample("discovered_servers")] == 5
+        and found[sample("avoided_servers")] == 1
+        and found[sample("list_version")] == 3
+    )
 
 
-def test_an_address_that_is_taken_or_none_is_one_line_and_status_2() -> None:
+def test_an_unusable_listen_address_is_reported_with_exit_status_2() -> None:
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
--- a/tests/test_golden_control.py
+++ b/tests/test_golden_control.py
@@ -1,4 +1,4 @@
-"""Golden files of the second address: what each call answers."""
+"""Golden files of the second address: the answer to each command."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from ingress.runtime.metrics import Metrics, RequestResult
 from tests.golden_files import GOLDEN, golden
 from tests.peers import RespClient, command, config, endpoint_entry, fake_endpoint, run_async
-from tests.test_golden import OTHER, ROW, in_folder, process
+from tests.test_golden import MEMBER, OTHER_MEMBER, process_group_of, run_in_folder
 from tests.test_net_control import ADMIN_LISTEN, admin_call
 from tests.test_net_ingress import running_ingress
 
-LINES = (b"ready", b"show-stat", b"drain", b"resume", b"revert", b"show-members", b"show-config", b"colour", b"")
+COMMANDS = (b"ready", b"show-stat", b"drain", b"resume", b"revert", b"show-members", b"show-config", b"colour", b"")
 
 
-def of_running_ingress() -> bytes:
-    """The answers of an ingress that has served a request, without their numbers and its digest."""
+def answers_of_running_ingress() -> bytes:
+    """Return the answers of an ingress that has served a request, without numbers, times and the digest."""
     answers = []
 
     async def body() -> None:
@@ -36,7 +36,7 @@
                 async with running_ingress(settings) as (served, address):
                     caller = await RespClient.connect(address)
                     assert await caller.request(command("one")) == b"one"
-                    answers.extend([(line, await admin_call(served, line)) for line in LINES])
+                    answers.extend([(line, await admin_call(served, line)) for line in COMMANDS])
                     assert served.checkpoint_writer is not None
                     await served.checkpoint_writer.close(clean=False)
 
@@ -47,22 +47,22 @@
     return re.sub(r"(?m)^(app\..*:)-?\d+\|", r"\1|", text).encode()
 
 
-def figures() -> bytes:
-    """Each kind of figure."""
-    found = Metrics(["read", "order"])
-    for end in (RequestResult.SUCCEEDED, RequestResult.DECLINED, RequestResult.ABORTED, RequestResult.DECLINED):
-        found.record_received()
-        found.record_result("read", end)
-    found.record_received()
-    found.record_rejection("quota")
-    found.record_rejection("")
-    found.attempts_sent = 7
-    return "\n".join(found.lines(12, 3, {"health.healthy": 9, "accepted": 4, "tls.resumed": 5})).encode()
+def metric_lines() -> bytes:
+    """Return lines with each kind of metric."""
+    metrics = Metrics(["read", "order"])
+    for result in (RequestResult.SUCCEEDED, RequestResult.DECLINED, RequestResult.ABORTED, RequestResult.DECLINED):
+        metrics.record_received()
+        metrics.record_result("read", result)
+    metrics.record_received()
+    metrics.record_rejection("quota")
+    metrics.record_rejection("")
+    metrics.attempts_sent = 7
+    return "\n".join(metrics.lines(12, 3, {"health.healthy": 9, "accepted": 4, "tls.resumed": 5})).encode()
 
 
-async def members(folder: Path) -> bytes:
-    silent = replace(OTHER, name="1-2", order=3, sent_at=698.25, build="")
-    group, _ = process(folder, ROW, [replace(OTHER, ending=True), silent])
+async def member_lines(folder: Path) -> bytes:
+    silent = replace(OTHER_MEMBER, name="1-2", order=3, sent_at=698.25, build="")
+    group, _ = process_group_of(folder, MEMBER, [replace(OTHER_MEMBER, ending=True), silent])
     targets = MagicMock(group=group)
     with patch.object(admin_commands, "monotonic", lambda: 700.5):
         answer = AdminCommands(targets).answer("show-members")
@@ -70,26 +70,26 @@
     return answer.encode()
 
 
-def generations() -> bytes:
-    """Of one configuration, then of another, of a refusal, and of the way back."""
+def config_version_lines() -> bytes:
+    """Return the lines after the first configuration, after another and a rejected one, and after a revert."""
     first = load_config(str(GOLDEN / "config.json"))
     second = with_shared_document(first, dict(first.document) | {"limits": {"cores": 2.0, "sockets": 256}})
     with patch("time.time", lambda: 1_700_000_000.5):
-        found = ConfigVersions(first)
-        texts = [found.lines()]
-        found.accept(second, "SIGHUP")
-        found.record_rejection("SIGHUP", "listen: can't change in a running process")
-        texts.append(found.lines())
-        found.accept(first, "revert", is_revert=True)
-        texts.append(found.lines())
+        versions = ConfigVersions(first)
+        texts = [versions.lines()]
+        versions.accept(second, "SIGHUP")
+        versions.record_rejection("SIGHUP", "listen: can't change in a running process")
+        texts.append(versions.lines())
+        versions.accept(first, "revert", is_revert=True)
+        texts.append(versions.lines())
     return "\n".join(line for text in texts for line in text).encode()
 
 
 def control_files() -> Iterator[tuple[str, bytes]]:
-    yield "control-live.txt", of_running_ingress()
-    yield "control-figures.txt", figures()
-    yield "control-members.txt", in_folder(members)
-    yield "control-generations.txt", generations()
+    yield "control-live.txt", answers_of_running_ingress()
+    yield "control-figures.txt", metric_lines()
+    yield "control-members.txt", run_in_folder(member_lines)
+    yield "control-generations.txt", config_version_lines()
 
 
 def test_answers_at_the_second_address() -> None:
--- a/tests/test_ingressctl.py
+++ b/tests/test_ingressctl.py
@@ -1,4 +1,4 @@
-"""The command line: what it prints, its status, what it keeps when it is interrupted."""
+"""Tests of the command line: output, exit status, and the results that an interrupted command keeps."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
 from tests.peers import config_text
 
 ROOT = Path(__file__).resolve().parent.parent
-LAST_UNDIVIDED_REVISION = "fd643acdc4be9bcf8808fa762ad7702078c69135"  # with all decisions in one module
-SMALL: dict[str, Any] = {
+LAST_UNDIVIDED_REVISION = "fd643acdc4be9bcf8808fa762ad7702078c69135"  # the last one with all decisions in one module
+SMALL_EXPERIMENT: dict[str, Any] = {
     "name": "small",
     "seconds": 2.0,
     "seeds": [1, 2],
@@ -40,17 +40,17 @@
 }
 
 
-def ingressctl(*words: str) -> Result:
-    return CliRunner().invoke(cli.main, words)
+def ingressctl(*arguments: str) -> Result:
+    return CliRunner().invoke(cli.main, arguments)
 
 
-def write(folder: Path, **changes: Any) -> Path:
+def write_experiment(folder: Path, **changes: Any) -> Path:
     path = folder / "small.toml"
-    path.write_text(to_toml(build_experiment(SMALL | changes)), encoding="utf-8")
+    path.write_text(to_toml(build_experiment(SMALL_EXPERIMENT | changes)), encoding="utf-8")
     return path
 
 
-def test_help_teaches_every_command() -> None:
+def test_help_lists_the_commands() -> None:
     text = ingressctl("--help").output
     for name in ("run", "check", "emulate", "load", "experiment", "report"):
         assert name in text
@@ -58,13 +58,13 @@
     assert "Status: 0" in text
 
 
-def test_check_takes_both_kinds_of_file_and_names_every_fault(tmp_path: Path) -> None:
+def test_check_accepts_both_kinds_of_file_and_rejects_invalid_ones(tmp_path: Path) -> None:
     good, bad = tmp_path / "good.json", tmp_path / "bad.json"
     good.write_text(config_text(), encoding="utf-8")
     bad.write_text("{}", encoding="utf-8")
     assert ingressctl("check", str(good)).exit_code == 0
     assert ingressctl("check", str(bad)).exit_code == 2
-    assert "2 seed(s)" in ingressctl("check", str(write(tmp_path))).output
+    assert "2 seed(s)" in ingressctl("check", str(write_experiment(tmp_path))).output
     broken = tmp_path / "broken.toml"
     broken.write_text('name = ""\nseconds = -1\n', encoding="utf-8")
     assert ingressctl("check", str(broken)).exit_code == 2
@@ -73,26 +73,27 @@
 
 
 def test_emulate_prints_the_same_result_for_the_same_seed(tmp_path: Path) -> None:
-    path = str(write(tmp_path))
+    path = str(write_experiment(tmp_path))
     first, second = (json.loads(ingressctl("emulate", path, "--seed", "5", "--json").output) for _ in range(2))
     assert first["exact"] == second["exact"]
     shown = ingressctl("emulate", path)
     assert shown.exit_code == 0 and "p99_ms" in shown.output
 
 
-class Mute(Gateway):
-    """Refuses nobody aloud."""
+class GatewayWithoutRejections(Gateway):
+    """A faulty gateway that never answers a request that it rejects."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         return [action for action in super().handle(now, event) if not isinstance(action, RejectRequest)]
 
 
-def test_a_broken_rule_ends_with_status_1_and_a_smaller_experiment(
+def test_a_violated_rule_ends_with_status_1_and_writes_a_smaller_experiment(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    path, small = write(tmp_path, load={"use": 0.3, "heavy": 0.5}), tmp_path / "least.toml"
+    path = write_experiment(tmp_path, load={"use": 0.3, "heavy": 0.5})
+    small = tmp_path / "least.toml"
     assert ingressctl("emulate", str(path)).exit_code == 0
-    monkeypatch.setattr("ingress.emulator.world.Gateway", Mute)
+    monkeypatch.setattr("ingress.emulator.world.Gateway", GatewayWithoutRejections)
     found = ingressctl("emulate", str(path), "--shrink", str(small))
     assert found.exit_code == 1 and "broken: one answer" in found.output
     assert load_experiment(small).faults == []
@@ -100,7 +101,7 @@
 
 
 def test_an_experiment_compares_versions_in_pairs_and_writes_a_report(tmp_path: Path) -> None:
-    path = write(tmp_path, versions=[{"name": "one"}, {"name": "two"}])
+    path = write_experiment(tmp_path, versions=[{"name": "one"}, {"name": "two"}])
     folder = tmp_path / "out"
     found = ingressctl("experiment", str(path), "--to", str(folder), "--jobs", "2", "--quiet")
     assert found.exit_code == 0, found.output
@@ -112,17 +113,17 @@
     rows = read_plays(folder / PLAYS)
     assert {(row["version"], row["seed"]) for row in rows} == {("one", 1), ("one", 2), ("two", 1), ("two", 2)}
     by_seed = {(row["version"], row["seed"]): row["result"]["exact"] for row in rows}
-    assert by_seed["one", 1] == by_seed["two", 1]  # the same code, the same day
+    assert by_seed["one", 1] == by_seed["two", 1]  # the same code and seed give the same run
     before = (folder / PLAYS).read_bytes()
     assert ingressctl("experiment", str(path), "--to", str(folder), "--quiet").exit_code == 0
-    assert (folder / PLAYS).read_bytes() == before  # nothing was left to play
+    assert (folder / PLAYS).read_bytes() == before  # no run was missing
     assert ingressctl("report", str(folder)).exit_code == 0
 
 
-def test_an_interrupted_experiment_keeps_what_it_measured_and_goes_on(tmp_path: Path) -> None:
-    path = write(tmp_path, seeds=list(range(1, 200)))
+def test_an_interrupted_experiment_keeps_its_results_and_can_be_continued(tmp_path: Path) -> None:
+    path = write_experiment(tmp_path, seeds=list(range(1, 200)))
     folder = tmp_path / "out"
-    words = [
+    arguments = [
         sys.executable,
         "-m",
         "ingress.ingressctl",
@@ -134,7 +135,7 @@
         "2",
         "--quiet",
     ]
-    process = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
+    process = subprocess.Popen(arguments, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     limit = time.monotonic() + 60
     while not (folder / PLAYS).exists() or (folder / PLAYS).read_text().count("\n") < 2:
         assert time.monotonic() < limit
@@ -144,30 +145,30 @@
     kept = read_plays(folder / PLAYS)
     assert 2 <= len(kept) < 199
     assert (folder / "report.html").exists()
-    whole = [row["seed"] for row in kept if row["result"]["exact"]["whole"]]
-    again = Results(folder, build_experiment(SMALL | {"seeds": list(range(1, 200))}))
-    assert again.done() == {("now", seed) for seed in whole}
+    complete_seeds = [row["seed"] for row in kept if row["result"]["exact"]["whole"]]
+    again = Results(folder, build_experiment(SMALL_EXPERIMENT | {"seeds": list(range(1, 200))}))
+    assert again.done() == {("now", seed) for seed in complete_seeds}
 
 
-def test_a_torn_line_is_cut_off_and_its_play_is_played_anew(tmp_path: Path) -> None:
-    one = build_experiment(SMALL)
-    results = Results(tmp_path, one)
+def test_a_torn_line_is_removed_and_its_run_is_repeated(tmp_path: Path) -> None:
+    experiment = build_experiment(SMALL_EXPERIMENT)
+    results = Results(tmp_path, experiment)
     for seed in (1, 2):
         results.add("now", seed, {"exact": {"whole": True}})
     path = tmp_path / PLAYS
-    whole = path.read_bytes()
+    complete = path.read_bytes()
     for cut in range(1, 40, 7):
-        path.write_bytes(whole[:-cut])
-        assert Results(tmp_path, one).done() == {("now", 1), ("now", 2)} if cut == 1 else {("now", 1)}
-    path.write_bytes(b"{}\n" + whole)
+        path.write_bytes(complete[:-cut])
+        assert Results(tmp_path, experiment).done() == {("now", 1), ("now", 2)} if cut == 1 else {("now", 1)}
+    path.write_bytes(b"{}\n" + complete)
     with pytest.raises(ResultsError, match="line 1"):
-        Results(tmp_path, one)
-    path.write_bytes(whole)
+        Results(tmp_path, experiment)
+    path.write_bytes(complete)
     with pytest.raises(ResultsError, match="another experiment"):
-        Results(tmp_path, build_experiment(SMALL | {"seconds": 3.0}))
+        Results(tmp_path, build_experiment(SMALL_EXPERIMENT | {"seconds": 3.0}))
 
 
-def test_a_version_is_the_package_of_its_revision_under_this_emulator(tmp_path: Path) -> None:
+def test_a_version_combines_the_package_of_its_revision_with_this_emulator(tmp_path: Path) -> None:
     assert lay_out("", tmp_path) == ROOT
     with pytest.raises(UnknownRevisionError, match="no revision"):
         lay_out("no-such-revision", tmp_path)
@@ -177,43 +178,41 @@
     assert lay_out("HEAD", tmp_path) == tree
 
 
-def test_revisions_of_the_former_package_are_played_alike(tmp_path: Path) -> None:
-    """Guards against builds from before the rename that can't be compared any more, or decide otherwise; the oldest
-    has all its decisions in `mulleinhall.logic`."""
+def test_revisions_of_the_renamed_package_can_still_be_run(tmp_path: Path) -> None:
+    """Guards against changes after which builds from before the renaming of the package can't be run, or decide
+    differently.  The oldest has all its decisions in `mulleinhall.logic`."""
     undivided = lay_out(LAST_UNDIVIDED_REVISION, tmp_path)
     assert package_of(undivided) == "mulleinhall" and (undivided / "mulleinhall" / "logic.py").exists()
     revisions = {"now": "", "former": LAST_FORMER_REVISION, "undivided": LAST_UNDIVIDED_REVISION}
     versions = [{"name": name, "revision": revision} for name, revision in revisions.items()]
-    path = write(tmp_path, seeds=[1], versions=versions)
+    path = write_experiment(tmp_path, seeds=[1], versions=versions)
     found = ingressctl("experiment", str(path), "--to", str(tmp_path / "out"), "--quiet")
     assert found.exit_code == 0, found.output
-    played = {row["version"]: row["result"]["exact"] for row in read_plays(tmp_path / "out" / PLAYS)}
-    assert played["now"] == played["former"]
-    assert all(played[name]["totals"]["served"] > 0 for name in revisions)
+    results = {row["version"]: row["result"]["exact"] for row in read_plays(tmp_path / "out" / PLAYS)}
+    assert results["now"] == results["former"]
+    assert all(results[name]["totals"]["served"] > 0 for name in revisions)
 
 
-def test_a_revision_is_played_from_its_own_folder_wherever_the_results_lie(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    write(tmp_path, seeds=[1], versions=[{"name": "head", "revision": "HEAD"}, {"name": "now"}])
+def test_a_revision_can_be_run_with_any_results_folder(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    write_experiment(tmp_path, seeds=[1], versions=[{"name": "head", "revision": "HEAD"}, {"name": "now"}])
     monkeypatch.chdir(tmp_path)
     found = ingressctl("experiment", "small.toml", "--to", "out", "--quiet")
     assert found.exit_code == 0, found.output
     assert {row["version"] for row in read_plays(tmp_path / "out" / PLAYS)} == {"head", "now"}
 
 
-def test_a_play_that_fails_is_told_with_its_last_words(tmp_path: Path) -> None:
-    path = write(tmp_path, versions=[{"name": "old", "revision": "nowhere"}])
+def test_an_experiment_with_an_unknown_revision_is_invalid_input(tmp_path: Path) -> None:
+    path = write_experiment(tmp_path, versions=[{"name": "old", "revision": "nowhere"}])
     assert ingressctl("experiment", str(path), "--to", str(tmp_path / "out"), "--quiet").exit_code == 2
 
 
-def test_a_load_needs_an_ingress_that_answers(tmp_path: Path) -> None:
+def test_load_fails_if_no_ingress_answers(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text(listen="127.0.0.1:1"), encoding="utf-8")
     assert ingressctl("load", str(path), "--seconds", "0.2").exit_code == 2
 
 
-def test_run_becomes_the_ingress(tmp_path: Path) -> None:
+def test_run_is_replaced_by_the_ingress(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text("{}", encoding="utf-8")
     done = subprocess.run(
@@ -226,7 +225,7 @@
     assert done.returncode == 2 and b"ingress: listen: missing" in done.stderr
 
 
-def test_differences_are_paired_and_only_told_where_the_seeds_agree() -> None:
+def test_differences_are_paired_and_only_reported_where_the_seeds_agree() -> None:
     keys = ("good", "served", "p50_ms", "p99_ms", "refused", "with_room", "beyond", "attempts", "slow_s", "broken")
     base = {seed: dict.fromkeys(keys, float(seed)) for seed in range(10)}
     better = {seed: {key: value + 1 for key, value in row.items()} for seed, row in base.items()}
@@ -239,21 +238,21 @@
     assert 1.0 <= low < 2.0 < high <= 3.0
 
 
-def test_slow_seconds_count_from_the_first_fault_against_those_before() -> None:
+def test_slow_seconds_after_the_first_fault_are_relative_to_those_before() -> None:
     rows = [{"second": s, "request.n": 10, "request.sum": 1.0 if s in (7, 8) else 0.2} for s in range(12)]
     assert slow_seconds(rows, 6.0) == 2
-    assert slow_seconds(rows, 0.0) == 0  # nothing tells what is usual
+    assert slow_seconds(rows, 0.0) == 0  # no seconds before the fault to compare with
 
 
-def test_histograms_survive_their_way_through_a_file_and_add_up() -> None:
-    one = Latencies()
+def test_histograms_are_restored_from_a_file_and_add_up() -> None:
+    latencies = Latencies()
     for ms in range(1, 1001):
-        one.add(ms / 1000)
-    again = decode_histogram(encode_histogram(one.histogram))
-    assert again.get_total_count() == 1000
-    assert again.get_value_at_percentile(99) / 1000 == pytest.approx(990, rel=0.01)
-    again.add(decode_histogram(encode_histogram(one.histogram)))
-    assert again.get_total_count() == 2000
+        latencies.add(ms / 1000)
+    restored = decode_histogram(encode_histogram(latencies.histogram))
+    assert restored.get_total_count() == 1000
+    assert restored.get_value_at_percentile(99) / 1000 == pytest.approx(990, rel=0.01)
+    restored.add(decode_histogram(encode_histogram(latencies.histogram)))
+    assert restored.get_total_count() == 2000
 
 
 def test_series_are_averaged_second_by_second() -> None:
@@ -262,8 +261,8 @@
     ]
 
 
-def test_a_report_needs_plays(tmp_path: Path) -> None:
-    Results(tmp_path, build_experiment(SMALL))
+def test_a_report_needs_results(tmp_path: Path) -> None:
+    Results(tmp_path, build_experiment(SMALL_EXPERIMENT))
     (tmp_path / PLAYS).write_text("", encoding="utf-8")
     with pytest.raises(ResultsError, match="no play"):
         make_report(tmp_path)
