--- a/ingress/ingressctl/experiments.py
+++ b/ingress/ingressctl/experiments.py
@@ -22,7 +22,7 @@
 from ingress.emulator.runner import Runner, Task
 from ingress.emulator.shrink import shrink, to_toml
 from ingress.emulator.versions import UnknownRevisionError
-from ingress.ingressctl.output import Status, err, exit_with_error, log, out, show_broken_rules, show_figures
+from ingress.ingressctl.output import Status, err, exit_with_error, log, out, show_metrics, show_violations
 
 RESULTS_FOLDER = Path("found")  # relative to the working directory; has one folder per experiment
 MAX_JOBS = 256
@@ -33,7 +33,7 @@
     try:
         return load_experiment(path)
     except ExperimentError as error:
-        exit_with_error(Status.BAD_INPUT, *error.faults)
+        exit_with_error(Status.INVALID_INPUT, *error.faults)
 
 
 @click.command()
@@ -55,7 +55,7 @@
 
     experiment = read_experiment(file)
     if experiment.sockets:
-        exit_with_error(Status.BAD_INPUT, f"{file}: sockets = true; run it with `ingressctl experiment`")
+        exit_with_error(Status.INVALID_INPUT, f"{file}: sockets = true; run it with `ingressctl experiment`")
     seed = experiment.seeds[0] if seed is None else seed
     world = Simulation(experiment, seed)
     signal.signal(signal.SIGINT, lambda *_: world.interrupt())
@@ -64,8 +64,8 @@
     if as_json:
         click.echo(json.dumps(result))
     else:
-        show_figures({f"seed {seed}": figures(result, _first_fault(experiment))})
-        show_broken_rules(Counter(result["exact"]["broken"]))
+        show_metrics({f"seed {seed}": figures(result, _first_fault(experiment))})
+        show_violations(Counter(result["exact"]["broken"]))
     if not result["exact"]["whole"]:
         sys.exit(Status.INTERRUPTED)
     if result["exact"]["broken"]:
@@ -112,7 +112,7 @@
         with tempfile.TemporaryDirectory() as trees:
             status = asyncio.run(_run_all(spec, results, Path(trees), jobs, quiet))
     except (ResultsError, UnknownRevisionError, OSError) as error:
-        exit_with_error(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.INVALID_INPUT, str(error))
     if results.rows:
         status = max(status, _print_summary(spec, results))
         click.echo(f"report: {_write_report(folder)}")
@@ -154,7 +154,7 @@
         measured[row["version"]][row["seed"]] = figures(row["result"], _first_fault(spec))
         broken.update(row["result"]["exact"]["broken"])
     measured = {name: runs for name, runs in measured.items() if runs}
-    show_figures(
+    show_metrics(
         {
             f"{name} ({len(runs)})": {key: sum(run[key] for run in runs.values()) / len(runs) for key in FIGURES}
             for name, runs in measured.items()
@@ -181,7 +181,7 @@
                 f"{difference.better} of {difference.pairs}",
             )
         out.print(table)
-    show_broken_rules(broken)
+    show_violations(broken)
     return Status.RULE_BROKEN if broken else 0
 
 
@@ -208,11 +208,11 @@
 
         lines = list(follow_request(folder, follow))
         if not lines:
-            exit_with_error(Status.BAD_INPUT, f"no line in {folder} mentions request {follow}")
+            exit_with_error(Status.INVALID_INPUT, f"no line in {folder} mentions request {follow}")
         for line in lines:
             click.echo(line)
         return
     try:
         click.echo(f"report: {_write_report(folder)}")
     except (ResultsError, ExperimentError) as error:
-        exit_with_error(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.INVALID_INPUT, str(error))
--- a/ingress/ingressctl/fleet.py
+++ b/ingress/ingressctl/fleet.py
@@ -69,7 +69,7 @@
     return poller
 
 
-def _warn_addresses_kept(reason: str) -> None:
+def _warn_address_file_unreadable(reason: str) -> None:
     log.warning("could not read the address file; polling the previous addresses", why=reason)
 
 
@@ -107,9 +107,9 @@
         poller = _poller(addresses, file, timeout, rate)
         plan = PollingPlan(AddressFile(file) if file else None, every, looks)
         with live or contextlib.nullcontext():
-            asyncio.run(poll_repeatedly(poller, plan, show, _warn_addresses_kept))
+            asyncio.run(poll_repeatedly(poller, plan, show, _warn_address_file_unreadable))
     except AddressListError as error:
-        exit_with_error(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.INVALID_INPUT, str(error))
     except BrokenPipeError:
         os.dup2(
             os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno()
@@ -138,10 +138,10 @@
         [(host, port)] = read_addresses(listen, "--listen")
         poller = _poller(addresses, file, timeout, rate)
         plan = PollingPlan(AddressFile(file) if file else None, every)
-        asyncio.run(export(poller, plan, (host, port), _log_scrape_address, _warn_addresses_kept))
+        asyncio.run(export(poller, plan, (host, port), _log_scrape_address, _warn_address_file_unreadable))
     except AddressListError as error:
-        exit_with_error(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.INVALID_INPUT, str(error))
     except OSError as error:
-        exit_with_error(Status.BAD_INPUT, f"--listen: {listen}: {error.strerror or error}")
+        exit_with_error(Status.INVALID_INPUT, f"--listen: {listen}: {error.strerror or error}")
     except KeyboardInterrupt:
         sys.exit(Status.INTERRUPTED)
--- a/ingress/ingressctl/logs.py
+++ b/ingress/ingressctl/logs.py
@@ -26,15 +26,15 @@
     from ingress.observability.log_report import as_text, report_on
 
     if not since < until:
-        exit_with_error(Status.BAD_INPUT, "--since must be earlier than --until")
+        exit_with_error(Status.INVALID_INPUT, "--since must be earlier than --until")
     try:
         result = report_on(logs, since, until)
     except FileNotFoundError as error:
-        exit_with_error(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.INVALID_INPUT, str(error))
     click.echo(json.dumps(result) if as_json else "\n".join(as_text(result)))
     if result["window"] is None:
         exit_with_error(
-            Status.BAD_INPUT,
+            Status.INVALID_INPUT,
             "no line of these logs could be used: were they written with EDGE_LOG=json, in this time window?",
         )
 
@@ -70,11 +70,11 @@
     try:
         result = report_on_quotas(logs, load_config(str(config)).settings, most_requests)
     except ConfigError as error:
-        exit_with_error(Status.BAD_INPUT, f"--settings: {config}: {error}")
+        exit_with_error(Status.INVALID_INPUT, f"--settings: {config}: {error}")
     except (OSError, TooManyRequestsError) as error:
-        exit_with_error(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.INVALID_INPUT, str(error))
     click.echo(json.dumps(result.as_plain_data()) if as_json else "\n".join(as_text(result)))
     if not result.requests:
         exit_with_error(
-            Status.BAD_INPUT, "no request of these logs could be used: were they written with EDGE_LOG=requests?"
+            Status.INVALID_INPUT, "no request of these logs could be used: were they written with EDGE_LOG=requests?"
         )
--- a/ingress/ingressctl/main.py
+++ b/ingress/ingressctl/main.py
@@ -53,7 +53,7 @@
             for key in load_config(str(file)).unknown_keys:
                 click.echo(f"{key}: unknown, ignored")
         except ConfigError as error:
-            exit_with_error(Status.BAD_INPUT, *error.faults)
+            exit_with_error(Status.INVALID_INPUT, *error.faults)
         return
     experiment = read_experiment(file)
     medium = "real sockets" if experiment.sockets else "simulated time"
--- a/ingress/ingressctl/measurements.py
+++ b/ingress/ingressctl/measurements.py
@@ -16,7 +16,11 @@
 from rich.table import Table
 
 from ingress.emulator.versions import UnknownRevisionError, lay_out
-from ingress.ingressctl.output import Status, err, exit_with_error, log, out, show_broken_rules
+from ingress.ingressctl.output import Status, err, exit_with_error, log, out, show_violations
+
+MAX_PRINTED_FAULTS = 20
+BYTES_PER_KB = 1e3
+BYTES_PER_MB = 1e6
 
 
 @click.command()
@@ -43,7 +47,7 @@
     try:
         result = send_load(config, rate, seconds, seed, retries)
     except LoadTargetError as error:
-        exit_with_error(Status.BAD_INPUT, *error.faults)
+        exit_with_error(Status.INVALID_INPUT, *error.faults)
     if as_json:
         click.echo(json.dumps(result))
     else:
@@ -64,7 +68,7 @@
     for key, value in result["late_ms"].items():
         table.add_row(f"sent late by, {key}", f"{value:g} ms")
     out.print(table)
-    show_broken_rules(Counter(result["exact"]["broken"]))
+    show_violations(Counter(result["exact"]["broken"]))
 
 
 @click.command()
@@ -114,7 +118,7 @@
             before_tree = lay_out(revision, Path(trees)) if revision else None
             found = measure(list(chains), count, clients, lambda text: log.info(text), before_tree)
     except UnknownRevisionError as error:
-        exit_with_error(Status.BAD_INPUT, str(error))
+        exit_with_error(Status.INVALID_INPUT, str(error))
     except (UnsettledError, NotReadyError, OSError) as error:
         exit_with_error(Status.FAILED, str(error))
     if as_json:
@@ -132,6 +136,7 @@
 
 
 def _show_progress(bar: Progress, row: TaskID, done: int, total: int) -> None:
+    """Update a row of a progress bar."""
     bar.update(row, completed=done, total=total)
 
 
@@ -162,7 +167,7 @@
     logging.disable(logging.NOTSET)
     ends = ", ".join(f"{count} {how}" for how, count in sorted(found.ends.items()))
     click.echo(f"{found.plays} losses of power ({ends}), {len(found.wrong)} of them wrong")
-    for line in found.wrong[:20]:
+    for line in found.wrong[:MAX_PRINTED_FAULTS]:
         click.echo(line)
     if found.wrong:
         sys.exit(Status.RULE_BROKEN)
@@ -201,7 +206,7 @@
             f"{row['size']}",
             f"{row['seconds']:.3f}",
             f"{row['cpu']:.2f}",
-            f"{row['kept'] / 1e3:.1f}",
-            f"{row['memory'] / 1e6:.1f}",
+            f"{row['kept'] / BYTES_PER_KB:.1f}",
+            f"{row['memory'] / BYTES_PER_MB:.1f}",
         )
     out.print(table)
--- a/ingress/ingressctl/output.py
+++ b/ingress/ingressctl/output.py
@@ -24,7 +24,7 @@
     """Exit statuses other than 0, which is success."""
 
     RULE_BROKEN = 1
-    BAD_INPUT = 2
+    INVALID_INPUT = 2
     FAILED = 3
     INTERRUPTED = 130
 
@@ -50,7 +50,7 @@
     )
 
 
-def show_figures(columns: dict[str, dict[str, float]]) -> None:
+def show_metrics(columns: dict[str, dict[str, float]]) -> None:
     """Print a table of metrics with one column per run or version."""
     table = Table("metric", *columns, "meaning")
     for key, (meaning, _) in FIGURES.items():
@@ -58,7 +58,7 @@
     out.print(table)
 
 
-def show_broken_rules(broken: Counter[str]) -> None:
+def show_violations(broken: Counter[str]) -> None:
     """Print how often each rule was violated."""
     for rule, count in sorted(broken.items()):
         click.echo(f"broken: {rule}, {count} times")
--- a/ingress/observability/log_report.py
+++ b/ingress/observability/log_report.py
@@ -19,7 +19,8 @@
     5_000  # keys per table (endpoints, ingresses, ...): further ones are counted as OTHER; list versions left out
 )
 OTHER = "other"
-MAX_LISTED = 1024  # endpoints or ingresses per list of the report
+DECIMAL_PLACES = 4
+MAX_REPORTED = 1024  # endpoints or ingresses per list of the report
 MAX_COUNTS = 50  # counts per kind of key in the report
 MAX_PRINTED = 20  # entries per list in the text form of the report
 MAX_EXAMPLES = 3  # log lines that show why an endpoint or ingress is an outlier
@@ -117,19 +118,20 @@
         if outcome not in NOT_FAILED_OUTCOMES:
             endpoint.add_example(json.dumps(fields))
 
-    def _note_sighting(self, ingress: str, version: int, at: float) -> None:
+    def _note_sighting(self, ingress: str, version: int, time: float) -> None:
+        """Record the earliest time at which an ingress saw a list version, within MAX_KEYS and MAX_SIGHTINGS."""
         is_new = version not in self.first_sightings
         if self.sighting_count >= MAX_SIGHTINGS or (is_new and len(self.first_sightings) >= MAX_KEYS):
             self.counts["lists left out"] += 1
             return
         times = self.first_sightings.setdefault(version, {})
         self.sighting_count += ingress not in times
-        times[ingress] = min(at, times.get(ingress, at))
+        times[ingress] = min(time, times.get(ingress, time))
 
     def result(self) -> dict[str, Any]:
         """Return the report as plain data."""
         attempts = sum((endpoint.counts for endpoint in self.endpoints.values()), Counter[str]())
-        ejections = self.ejections.most_common(MAX_LISTED)
+        ejections = self.ejections.most_common(MAX_REPORTED)
         return {
             "read": dict(self.counts),
             "unreadable": self.unreadable,
@@ -162,12 +164,12 @@
                 continue
             middle = sorted(values.values())[len(values) // 2]
             farthest = sorted(found.items(), key=lambda item: -abs(item[1] - middle))
-            for name, value in farthest[:MAX_LISTED]:
+            for name, value in farthest[:MAX_REPORTED]:
                 yield {
                     "what": what,
                     "who": name,
-                    "value": round(value, 4),
-                    "median": round(middle, 4),
+                    "value": round(value, DECIMAL_PLACES),
+                    "median": round(middle, DECIMAL_PLACES),
                     "lines": subjects[name].examples,
                 }
 
--- a/ingress/observability/poller.py
+++ b/ingress/observability/poller.py
@@ -66,11 +66,11 @@
     """
     found: dict[Address, None] = {}
     for number, line in enumerate(text.splitlines(), 1):
-        if not (word := line.partition("#")[0].strip()):
+        if not (address := line.partition("#")[0].strip()):
             continue
-        host, _, port = word.rpartition(":")
+        host, _, port = address.rpartition(":")
         if not host or not (port.isascii() and port.isdecimal()) or not 0 < int(port) <= MAX_PORT:
-            raise AddressListError(f"{place}:{number}: {word[:MAX_QUOTED_CHARACTERS]!r} is not HOST:PORT")
+            raise AddressListError(f"{place}:{number}: {address[:MAX_QUOTED_CHARACTERS]!r} is not HOST:PORT")
         found[host, int(port)] = None
     if not found:
         raise AddressListError(f"{place}: contains no address")
@@ -100,15 +100,15 @@
 
 def _parse_metric(line: str) -> tuple[str, float, bool]:
     """Return the name and value of a metric, and whether it is a counter."""
-    name, _, rest = line.rpartition(":")
-    number, _, kind = rest.partition("|")
+    name, _, value_and_type = line.rpartition(":")
+    number, _, metric_type = value_and_type.partition("|")
     try:
         value = float(number)
     except ValueError:
         raise _malformed_metric(line) from None
-    if not name or kind not in ("c", "g") or not isfinite(value) or (kind == "c" and value < 0):
+    if not name or metric_type not in ("c", "g") or not isfinite(value) or (metric_type == "c" and value < 0):
         raise _malformed_metric(line)
-    return name, value, kind == "c"
+    return name, value, metric_type == "c"
 
 
 def _malformed_metric(line: str) -> MalformedAnswerError:
--- a/ingress/observability/quota_replay.py
+++ b/ingress/observability/quota_replay.py
@@ -23,7 +23,7 @@
 from ingress.observability.log_reader import log_files
 from ingress.observability.request_log import MAX_REQUESTS, Attempt, CustomerKey, FleetLog, Request
 
-MAX_LISTED_CUSTOMERS = 10
+MAX_REPORTED_CUSTOMERS = 10
 MAX_EXAMPLES = 3  # requests over the quota that are listed per customer
 START_LOG_DELAY_S = 1.0  # an ingress may receive requests for this long before it logs that it serves
 DECIMAL_PLACES = 6  # of cost and weight
@@ -41,9 +41,9 @@
             if ingress in earliest and earliest[ingress] < times[0] - START_LOG_DELAY_S
         }
 
-    def restarts_before(self, ingress: str, at: float) -> int:
+    def restarts_before(self, ingress: str, time: float) -> int:
         """Return how many times an ingress had restarted by a time, according to its log."""
-        start_count = bisect_right(self.starts.get(ingress, ()), at)
+        start_count = bisect_right(self.starts.get(ingress, ()), time)
         return start_count if ingress in self.running_before else max(0, start_count - 1)
 
 
@@ -55,9 +55,9 @@
         self.starts = sorted(start for start, _ in nonempty)
         self.ends = sorted(end for _, end in nonempty)
 
-    def count(self, at: float) -> int:
+    def count(self, time: float) -> int:
         """Return the number of attempts that are open at a time."""
-        return bisect_left(self.starts, at) - bisect_right(self.ends, at)
+        return bisect_left(self.starts, time) - bisect_right(self.ends, time)
 
 
 class Tally(Struct):
@@ -343,7 +343,7 @@
 
 def _customers_most_over_quota(customers: Iterable[CustomerReport]) -> list[CustomerReport]:
     return heapq.nsmallest(
-        MAX_LISTED_CUSTOMERS, customers, key=lambda one: (-one.over_quota.units, one.plan, one.customer)
+        MAX_REPORTED_CUSTOMERS, customers, key=lambda one: (-one.over_quota.units, one.plan, one.customer)
     )
 
 
--- a/ingress/observability/quota_text.py
+++ b/ingress/observability/quota_text.py
@@ -7,7 +7,7 @@
 from ingress.observability.log_reader import input_as_text
 from ingress.observability.quota_replay import CustomerReport, Origin, PlanReport, QuotaReport, Tally
 
-MAX_LISTED_INGRESSES = 10  # per customer
+MAX_PRINTED_INGRESSES = 10  # per customer
 DECIMAL_PLACES = 6
 
 
@@ -58,7 +58,7 @@
 
 def _customer_as_text(customer: CustomerReport) -> Iterator[str]:
     used = customer.ingresses
-    names = ", ".join(used[:MAX_LISTED_INGRESSES]) + (", ..." if len(used) > MAX_LISTED_INGRESSES else "")
+    names = ", ".join(used[:MAX_PRINTED_INGRESSES]) + (", ..." if len(used) > MAX_PRINTED_INGRESSES else "")
     yield (
         f"customer {customer.customer} ({customer.plan}): beyond {_tally(customer.over_quota)} of "
         f"{_tally(customer.forwarded)} sent on, by {len(used)} ingresses, "
--- a/ingress/observability/summary.py
+++ b/ingress/observability/summary.py
@@ -17,7 +17,8 @@
 MIN_DISTANCE_RATIO = 0.1
 # Minimum distance of an outlier where the median is 1 or more, in the unit of the value: ms, list entries, endpoints.
 MIN_DISTANCE = 3.0
-MAX_LISTED = 1024  # entries per list of outliers or of ingresses whose last call failed
+MAX_REPORTED = 1024  # entries per list of outliers or of ingresses whose last call failed
+DECIMAL_PLACES = 3
 MIN_INGRESSES = 5  # among fewer values, none is an outlier
 COMPARED_GAUGES = ("outstanding", "discovered", "ejected", "list.version", "list.age_ms", "connections.servers")
 
@@ -65,8 +66,8 @@
     return {name: value for name, value in values.items() if abs(value - middle) > limit}
 
 
-def summarize(ingresses: Iterable[PolledIngress], at: float) -> dict[str, Any]:
-    """Return the summary of a poll of the fleet as plain data; `at` is the time of the poll (Unix time in s).
+def summarize(ingresses: Iterable[PolledIngress], polled_at: float) -> dict[str, Any]:
+    """Return the summary of a poll of the fleet as plain data; `polled_at` is its Unix time in s.
 
     Counters are added up over all processes, also over two processes of one ingress.  Gauges of these would be counted
     twice, so most gauges are summarized by their distribution only; `app.outstanding` is added up as well, because each
@@ -95,16 +96,16 @@
     states = Counter(ingress.state.value for ingress in polled)
     rates = _sum_rates(answering)
     return {
-        "at": round(at, 3),
+        "at": round(polled_at, DECIMAL_PLACES),
         "ingresses": {state.value: states[state.value] for state in PollState},
         "restarts": sum(ingress.restarts for ingress in polled),
         "totals": dict(sorted(_sum_totals(answering).items())),
-        "rates": {name: round(rate, 3) for name, rate in sorted(rates.items())},
+        "rates": {name: round(rate, DECIMAL_PLACES) for name, rate in sorted(rates.items())},
         "spread": spread,
-        "outliers": outlying[:MAX_LISTED],
-        "outliers_left_out": max(0, len(outlying) - MAX_LISTED),
-        "unwell": failing[:MAX_LISTED],
-        "unwell_left_out": max(0, len(failing) - MAX_LISTED),
+        "outliers": outlying[:MAX_REPORTED],
+        "outliers_left_out": max(0, len(outlying) - MAX_REPORTED),
+        "unwell": failing[:MAX_REPORTED],
+        "unwell_left_out": max(0, len(failing) - MAX_REPORTED),
     }
 
 
