--- a/ingress/observability/request_log.py
+++ b/ingress/observability/request_log.py
@@ -24,7 +24,7 @@
 START_LOGGERS = frozenset(
     {"ingress.ingress", "mulleinhall.net.ingress"}
 )  # of this build, and of builds before the package was renamed
-MS_PER_S = 1000
+MS_PER_SECOND = 1000
 UNKNOWN_NAMES = "requests of a plan or class that the settings do not name"
 
 
@@ -151,7 +151,7 @@
             )
         self.request_count += 1
         ingress = intern(line.ingress)
-        arrival = line.time - fields.ms / MS_PER_S
+        arrival = line.time - fields.ms / MS_PER_SECOND
         self.first_arrivals[ingress] = min(arrival, self.first_arrivals.get(ingress, arrival))
         weight = self.class_weights[fields.request_class] * self.plans[fields.plan].weight_factor * fields.units
         self.requests[CustomerKey(fields.plan, fields.customer)].append(
@@ -174,4 +174,4 @@
             raise TooManyRequestsError(
                 f"the logs contain more than {self.max_attempts} attempts; pass fewer logs or raise --most-requests"
             )
-        self.attempts.append(Attempt(intern(line.ingress), fields.id, line.time - fields.ms / MS_PER_S, line.time))
+        self.attempts.append(Attempt(intern(line.ingress), fields.id, line.time - fields.ms / MS_PER_SECOND, line.time))
