--- a/ingress/configuration/__init__.py
+++ b/ingress/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its document, the mapping of its names to typed settings, its versions and changes."""
+"""The configuration: its document, the mapping of its names to typed settings, its versions and its changes."""
--- a/ingress/configuration/applier.py
+++ b/ingress/configuration/applier.py
@@ -1,4 +1,7 @@
-"""Applies a configuration to the running parts of a process: `prepare` may fail and changes nothing, `commit` can't."""
+"""Two-phase application of a configuration to a running process.
+
+`prepare` may fail and changes nothing; `commit` changes all components and cannot fail.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +24,7 @@
 
 
 class PreparedConfig(Struct, frozen=True):
-    """A configuration that can be committed, with the parts that had to be made for it."""
+    """A configuration that is ready to be committed, with the components created for it."""
 
     config: Config
     command_reader: CommandReader
@@ -29,7 +32,7 @@
 
 
 class ConfigurableParts(Struct, frozen=True):
-    """The parts of a process that a new configuration changes."""
+    """The components of a process that a new configuration changes."""
 
     clients: ClientServer
     requests: RequestHandler
@@ -44,32 +47,32 @@
 
 
 def request_limits(config: Config) -> RequestLimits:
-    """The limits of requests under a configuration; a hedge is a second attempt in flight."""
+    """Return the request limits of a configuration; a hedge counts as a second attempt in flight."""
     settings = config.settings
     concurrent_attempts = 2 if settings.hedging_allowed else 1
     return RequestLimits(config.max_open_requests, settings.max_attempts, concurrent_attempts)
 
 
 class ConfigApplier:
-    """Changes all parts of a process in one step."""
+    """Applies a configuration to all components of a process in one step."""
 
     def __init__(self, parts: ConfigurableParts) -> None:
         self.parts = parts
 
     def start(self, config: Config) -> None:
-        """Sets what the parts do not get by their constructors."""
+        """Apply the settings that the components do not receive through their constructors."""
         timeout = config.settings.counter_timeout
         self.set_tls(config)
         self.parts.counter.commit(self.parts.counter.prepare(config.counter, timeout), config.counter, timeout)
 
     def prepare(self, config: Config) -> PreparedConfig:
-        """Makes all that can fail to be made."""
+        """Create every component whose creation may fail, without changing the process."""
         command_reader = CommandReader(config.settings)
         counter_client = self.parts.counter.prepare(config.counter, config.settings.counter_timeout)
         return PreparedConfig(config, command_reader, counter_client)
 
     def commit(self, prepared: PreparedConfig, previous: Config) -> None:
-        """Changes all parts; no event is handled in between."""
+        """Apply a prepared configuration to all components; no event is handled in between."""
         config = prepared.config
         settings = config.settings
         parts = self.parts
@@ -91,6 +94,6 @@
         parts.feed(SettingsChanged(settings))
 
     def set_tls(self, config: Config) -> None:
-        """Sets TLS for new connections; those that are open, or in their handshake, keep theirs."""
+        """Set TLS for new connections; connections that are open or in their handshake keep their settings."""
         self.parts.clients.tls = config.client_tls.context if config.client_tls else None
         self.parts.pool.connector.tls = config.endpoint_tls
--- a/ingress/configuration/changes.py
+++ b/ingress/configuration/changes.py
@@ -1,4 +1,4 @@
-"""Changes of the configuration: all processes of an ingress make the same one, or none does."""
+"""Configuration changes: all processes of an ingress apply the same change, or none does."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ATTEMPTS = 20  # of a change, while others are under way
+MAX_CHANGE_ATTEMPTS = 20  # A change is retried while another one is in progress.
 
 
 class Applier(Protocol):
     """Applies a configuration to this process."""
 
     def prepare(self, config: Config) -> PreparedConfig:
-        """Makes all that can fail to be made, and changes nothing."""
+        """Create every component whose creation may fail, without changing the process."""
 
     def commit(self, prepared: PreparedConfig, previous: Config) -> None:
-        """Changes the process; can't fail."""
+        """Apply a prepared configuration to the process; this cannot fail."""
 
 
 class ConfigChanges:
-    """Takes a change from a reload or a revert through all processes to the active version.
+    """Coordinates reloads and reverts with the other processes until the new version is active in all of them.
 
-    This is the `Participant` of the agreement: it prepares and commits in this process.
+    This is the `Participant` of the agreement: it prepares and commits changes in this process.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         predecessor: Callable[[], Link | None],
         successors: Callable[[], Iterable[Link]],
     ) -> None:
-        """Starts with `config` as the first version.
+        """Start with `config` as the first version.
 
         Args:
             config: The configuration with which the process started.
@@ -62,34 +62,34 @@
         return self.versions.current.config
 
     async def change(self, config: Config, cause: str) -> str:
-        """Makes `config` the active version in all processes.
+        """Make `config` the active version in all processes.
 
         Returns:
-            An empty string, or why nothing was changed.
+            An empty string on success, otherwise the reason why nothing was changed.
         """
         key = self.versions.immutable_key(config)
         if key:
             return self.reject(cause, _immutable(key))
         if config.digest == self.config.digest:
-            log.info("%s: %s: nothing has changed", config.name, cause)
+            log.info("%s: %s: the configuration is unchanged", config.name, cause)
             return ""
-        for _ in range(MAX_ATTEMPTS):
+        for _ in range(MAX_CHANGE_ATTEMPTS):
             reason = await self.agreement.change(config.document, cause)
             if reason != UNDER_WAY:
                 break
         return self.reject(cause, reason) if reason else ""
 
     async def revert(self) -> str:
-        """Returns to the previous version in all processes; the result answers the admin command."""
+        """Return to the previous version in all processes; the result is the reply to the admin command."""
         reason = await self.agreement.change(None, "revert")
         if reason:
             return f"fail {self.reject('revert', reason)}"
         return "ok"
 
     def adopt(self, documents: Sequence[Mapping[str, Any]]) -> None:
-        """Takes over the versions of the predecessor process, the active one last, whatever the file says by now."""
+        """Adopt the versions of the predecessor process, the active one last, even if the file has changed since."""
         if not documents:
-            return  # the predecessor is of a build that does not send them
+            return  # The predecessor runs a build that does not send its versions.
         *earlier, active = documents
         preparation = self.prepare(active)
         if preparation.rejection:
@@ -100,16 +100,16 @@
         try:
             self.versions.inherit([with_shared_document(self.config, document) for document in earlier])
         except ConfigError as error:
-            log.warning("take over: the generations before are let go: %s", error)
+            log.warning("take over: dropping the earlier configuration versions of the predecessor: %s", error)
 
     def reject(self, cause: str, reason: str) -> str:
-        """Records and logs why a change was rejected; returns the reason."""
+        """Record and log why a change was rejected, and return the reason."""
         self.versions.record_rejection(cause, reason)
         log.error("%s: %s", cause, reason)
         return reason
 
     def prepare(self, document: Mapping[str, Any]) -> Preparation:
-        """Prepares a change in this process; the plan is a `PreparedConfig`."""
+        """Prepare a change in this process; the plan is a `PreparedConfig`."""
         try:
             config = with_shared_document(self.config, document)
             key = self.versions.immutable_key(config)
@@ -121,11 +121,11 @@
         except ConfigError as error:
             return Preparation(str(error))
         except Exception as error:
-            INGRESS_LOG.exception("a change can't be prepared")
+            INGRESS_LOG.exception("preparing a configuration change failed")
             return Preparation(f"{type(error).__name__}: {error}")
 
     def commit(self, plan: PreparedConfig, cause: str, is_revert: bool) -> None:
-        """Commits what was prepared and logs the differences."""
+        """Commit a prepared configuration and log its differences from the one it replaces."""
         previous = self.versions.previous
         if is_revert and previous is not None:
             cause = f"{cause} to {previous.number}"
@@ -134,18 +134,18 @@
         version = self.versions.accept(plan.config, cause, is_revert)
         self.applier.commit(plan, replaced)
         log.info(
-            "%s: %s: generation %d (%s)%s",
+            "%s: %s: generation %d is active (digest %s)%s",
             self.config.name,
             cause,
             version.number,
             plan.config.digest,
-            ", the one that was reverted" if was_reverted else "",
+            "; it was reverted before" if was_reverted else "",
         )
         for line in self.versions.differences[:MAX_SHOWN_DIFFERENCES]:
             log.info("%s: %s", self.config.name, line)
 
     def previous_document(self) -> Mapping[str, Any] | None:
-        """Returns the document to which a revert would return."""
+        """Return the document that a revert would restore, or None if there is no previous version."""
         previous = self.versions.previous
         return previous.config.document if previous is not None else None
 
--- a/ingress/configuration/consistency.py
+++ b/ingress/configuration/consistency.py
@@ -1,4 +1,4 @@
-"""Checks of the configuration document that concern the meaning of a value, or more than one key."""
+"""Semantic checks of the configuration document, for values and combinations of keys that the schema accepts."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 from ingress.configuration.json_schema import Validator
 
-MAX_SHOWN_CHARACTERS = 40  # of the seed in a message
+MAX_SHOWN_SEED_CHARACTERS = 40
 
 
 def check_consistency(document: dict[str, Any], validator: Validator) -> None:
-    """Records what is well-formed by the schema and yet can't be used."""
+    """Record the faults of values that match the schema but cannot be used."""
     _check_checkpoint(document.get("checkpoint"), validator)
     _check_seed(document.get("seed"), validator)
     settings = document.get("settings")
@@ -41,7 +41,7 @@
     try:
         int(seed, 16)
     except ValueError:
-        validator.add_fault("seed", f"{seed[:MAX_SHOWN_CHARACTERS]!r} is not a hexadecimal number")
+        validator.add_fault("seed", f"{seed[:MAX_SHOWN_SEED_CHARACTERS]!r} is not a hexadecimal number")
 
 
 def _check_counter(document: dict[str, Any], settings: dict[str, Any], validator: Validator) -> None:
--- a/ingress/configuration/document.py
+++ b/ingress/configuration/document.py
@@ -1,4 +1,4 @@
-"""Reads the configuration document (EDGE_CONFIG) into a typed `Config`, or reports every fault of it by its key."""
+"""The configuration document (EDGE_CONFIG): parsed into a typed `Config`, or rejected with every fault by its key."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from msgspec import Struct, field
 
 from ingress.configuration.consistency import check_consistency
-from ingress.configuration.document_schema import DOCUMENT
+from ingress.configuration.document_schema import DOCUMENT_SCHEMA
 from ingress.configuration.json_schema import Validator, parse
 from ingress.configuration.settings_mapping import read_settings
 from ingress.decisions.settings import Settings
@@ -24,24 +24,26 @@
 if TYPE_CHECKING:
     from ingress.runtime.tls import Tls
 
-RESERVED_DESCRIPTORS = 48  # not for connections of peers: standard streams, the event loop, counter, discovery
+# Descriptors that are not available to peer connections: standard streams, event loop, counter and discovery.
+RESERVED_DESCRIPTORS = 48
 DEFAULT_SOCKETS = 1024
-MIN_CLIENT_ADDRESSES = 3  # that it takes to hold all descriptors
+# At least this many client addresses are needed to use all descriptors: each one is limited to its share.
+MIN_ADDRESSES_TO_FILL_DESCRIPTORS = 3
 DEFAULT_MEMORY_MB = 128
-MEGABYTE = 1 << 20
-DEFAULT_CHECKPOINT_INTERVAL = 5.0  # s
-DEFAULT_CONNECT_TIMEOUT = 0.25  # s
-DEFAULT_IDLE_TIMEOUT = 15.0  # s
+BYTES_PER_MEGABYTE = 1 << 20
+DEFAULT_CHECKPOINT_INTERVAL_S = 5.0
+DEFAULT_CONNECT_TIMEOUT_S = 0.25
+DEFAULT_IDLE_TIMEOUT_S = 15.0
 DEFAULT_MAX_OPEN_REQUESTS = 20_000
 DIGEST_CHARACTERS = 12
-NO_ENDPOINTS = {"version": 0, "full": True, "servers": []}
-# Keys that make no configuration version: the seed and the initial endpoints differ at each start, and each process
-# of an ingress has an admin address of its own.
+EMPTY_ENDPOINT_LIST = {"version": 0, "full": True, "servers": []}
+# Keys that are not part of a configuration version: the seed and the initial endpoints differ at each start, and each
+# process of an ingress has its own admin address.
 UNVERSIONED_KEYS = frozenset({"seed", "known", "control"})
 
 
 class ConfigError(IngressError):
-    """The configuration can't be used; each of `faults` names its key."""
+    """The configuration is invalid; each entry of `faults` names the key concerned."""
 
     def __init__(self, faults: Sequence[str]) -> None:
         super().__init__("; ".join(faults))
@@ -49,14 +51,24 @@
 
 
 class CheckpointConfig(Struct, frozen=True):
-    """The folder of the checkpoint, and seconds between its snapshots."""
+    """The checkpoint folder, and the interval between snapshots in seconds."""
 
     folder: str
     interval: float
 
 
 class Config(Struct, frozen=True):
-    """The configuration of one process; durations are in seconds."""
+    """The configuration of one process; durations are in seconds.
+
+    Attributes:
+        client_connection_limit: The number of connections allowed from any one client address.
+        initial_endpoints: The endpoint list that is used until discovery answers.
+        idle_timeout: The time after which an endpoint closes an idle connection.
+        memory_limit: The memory limit in bytes.
+        document: The document as read, without the keys in `UNVERSIONED_KEYS`.
+        digest: The digest of the document and of the certificates that it names.
+        document_size: The size of the canonical document in bytes.
+    """
 
     name: str
     listen: Address
@@ -66,27 +78,27 @@
     seed: int
     max_client_connections: int
     max_endpoint_connections: int
-    client_connection_limit: int  # of any one client address
-    initial_endpoints: EndpointList  # used until discovery answers
+    client_connection_limit: int
+    initial_endpoints: EndpointList
     settings: Settings
     connect_timeout: float
-    idle_timeout: float  # after which an endpoint closes an idle connection
+    idle_timeout: float
     max_open_requests: int
-    memory_limit: int  # bytes
+    memory_limit: int
     unknown_keys: tuple[str, ...] = ()
     client_tls: Tls | None = None
     endpoint_tls: Tls | None = None
     checkpoint: CheckpointConfig | None = None
-    document: Mapping[str, Any] = field(default_factory=dict)  # as read, without UNVERSIONED_KEYS
-    digest: str = ""  # of the document and of the certificates that it names
-    document_size: int = 0  # bytes
+    document: Mapping[str, Any] = field(default_factory=dict)
+    digest: str = ""
+    document_size: int = 0
 
 
 def read_address(text: str, key: str) -> Address:
-    """Reads `host:port`.
+    """Parse `host:port`.
 
     Raises:
-        ConfigError: It is not an address; the text names `key`.
+        ConfigError: The text is not an address and port; the message names `key`.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
@@ -95,10 +107,10 @@
 
 
 def with_shared_document(config: Config, document: Mapping[str, Any]) -> Config:
-    """Returns the configuration of this process with the document of another process of the same ingress.
+    """Return the configuration of this process based on the document of another process of the same ingress.
 
     Raises:
-        ConfigError: This process can't use the document.
+        ConfigError: The document is invalid in this process.
     """
     unversioned = {"seed": f"{config.seed:x}"}
     if config.admin is not None:
@@ -108,10 +120,10 @@
 
 
 def load_config(path: str) -> Config:
-    """Reads the configuration file at `path`.
+    """Read the configuration file at `path`.
 
     Raises:
-        ConfigError: The file or its content can't be used.
+        ConfigError: The file cannot be read, or its content is invalid.
     """
     try:
         return read_config(read_text(path))
@@ -120,17 +132,17 @@
 
 
 def read_config(text: str) -> Config:
-    """Reads a configuration document.
+    """Parse a configuration document.
 
     Raises:
-        ConfigError: It can't be used; the error holds every fault.
+        ConfigError: The document is invalid; the error lists every fault.
     """
     try:
         source = parse(text)
     except ValueError as error:
         raise ConfigError([f"EDGE_CONFIG: not JSON: {error}"]) from None
     validator = Validator()
-    validator.check(source, DOCUMENT, "")
+    validator.check(source, DOCUMENT_SCHEMA, "")
     if not isinstance(source, dict):
         raise ConfigError(validator.faults)
     check_consistency(source, validator)
@@ -149,7 +161,7 @@
     tls: dict[str, Tls],
     unknown_keys: tuple[str, ...],
 ) -> Config:
-    """Returns the configuration of a document that has passed all checks."""
+    """Build the configuration from a document that has passed all checks."""
     settings = _read_settings(source["settings"])
     limits = source["settings"]["limits"]
     process_limits = source["limits"]
@@ -166,13 +178,13 @@
         seed=int(source["seed"], 16),
         max_client_connections=max_connections,
         max_endpoint_connections=max_connections,
-        client_connection_limit=sockets // MIN_CLIENT_ADDRESSES,
+        client_connection_limit=sockets // MIN_ADDRESSES_TO_FILL_DESCRIPTORS,
         initial_endpoints=initial_endpoints,
         settings=settings,
-        connect_timeout=float(limits.get("connect-timeout-s", DEFAULT_CONNECT_TIMEOUT)),
-        idle_timeout=float(limits.get("keepalive-s", DEFAULT_IDLE_TIMEOUT)),
+        connect_timeout=float(limits.get("connect-timeout-s", DEFAULT_CONNECT_TIMEOUT_S)),
+        idle_timeout=float(limits.get("keepalive-s", DEFAULT_IDLE_TIMEOUT_S)),
         max_open_requests=int(limits.get("max-open", DEFAULT_MAX_OPEN_REQUESTS)),
-        memory_limit=int(process_limits.get("memory_mb", DEFAULT_MEMORY_MB) * MEGABYTE),
+        memory_limit=int(process_limits.get("memory_mb", DEFAULT_MEMORY_MB) * BYTES_PER_MEGABYTE),
         unknown_keys=unknown_keys,
         client_tls=tls.get("tls"),
         endpoint_tls=tls.get("server-tls"),
@@ -184,12 +196,12 @@
 
 
 def _max_connections(sockets: int) -> int:
-    """Returns how many connections either side may open; all parts together stay under the limit of descriptors."""
+    """Return how many connections each side may open, so that the whole process stays below the descriptor limit."""
     return (sockets - min(RESERVED_DESCRIPTORS, sockets // 2)) // 2
 
 
 def _required(address: Address | None) -> Address:
-    assert address is not None  # the schema requires the key
+    assert address is not None  # The schema requires the key.
     return address
 
 
@@ -203,25 +215,25 @@
 def _read_checkpoint(source: Mapping[str, Any] | None) -> CheckpointConfig | None:
     if not source:
         return None
-    return CheckpointConfig(source["folder"], float(source.get("every_s", DEFAULT_CHECKPOINT_INTERVAL)))
+    return CheckpointConfig(source["folder"], float(source.get("every_s", DEFAULT_CHECKPOINT_INTERVAL_S)))
 
 
 def _digest(canonical: bytes, tls: dict[str, Tls]) -> str:
-    """Returns the digest of a document; a certificate that was renewed under its old file name changes it."""
+    """Return the digest of a document; it changes when a certificate is renewed under the same file name."""
     fingerprints = "".join(side.fingerprint for side in tls.values()).encode()
     return hashlib.sha256(canonical + fingerprints).hexdigest()[:DIGEST_CHARACTERS]
 
 
 def _read_initial_endpoints(source: dict[str, Any], validator: Validator) -> EndpointList:
     try:
-        return read_endpoint_list(source.get("known") or NO_ENDPOINTS)
+        return read_endpoint_list(source.get("known") or EMPTY_ENDPOINT_LIST)
     except ValueError as error:
         validator.add_fault("known", str(error))
         return EndpointList(0, True, (), {})
 
 
 def _read_tls(source: dict[str, Any], validator: Validator) -> dict[str, Tls]:
-    """Reads the sides that ask for TLS; the module that reads certificates is loaded only for these."""
+    """Read the TLS settings of each side that uses TLS; the TLS module is imported only if one does."""
     sides = {}
     for key in ("tls", "server-tls"):
         if source.get(key) is None:
@@ -242,12 +254,12 @@
 
 
 def _read_addresses(source: dict[str, Any], validator: Validator) -> dict[str, Address | None]:
-    """Reads the addresses by their keys; the environment may name the admin address too."""
+    """Read the addresses by key; the environment variable EDGE_CONTROL is the fallback for the admin address."""
     texts = {key: source.get(key) for key in ("listen", "discovery", "counter")}
     texts["control"] = source.get("control") or os.environ.get("EDGE_CONTROL")
     addresses = {key: _read_optional_address(text, key, validator) for key, text in texts.items()}
     admin = addresses["control"]
-    if admin and admin[1] and admin == addresses["listen"]:  # port 0 stands for any free one
+    if admin and admin[1] and admin == addresses["listen"]:  # Port 0 requests any free port.
         validator.add_fault("control", "is the address where clients connect")
     return addresses
 
--- a/ingress/configuration/document_schema.py
+++ b/ingress/configuration/document_schema.py
@@ -1,6 +1,6 @@
 """The schema of the configuration document: its keys, their types and bounds.
 
-Keys of `settings` are those of the simulator; `settings_mapping` gives them the names used in this program.
+The keys of `settings` are those of the simulator; `settings_mapping` maps them to the names used in this package.
 """
 
 from __future__ import annotations
@@ -17,19 +17,19 @@
 
 MIN_SOCKETS = 64
 MAX_SOCKETS = 1 << 20
-MIN_CHECKPOINT_INTERVAL = 0.1  # s
-MIN_MEMORY_MB = 24  # the program itself takes 20
+MIN_CHECKPOINT_INTERVAL_S = 0.1
+MIN_MEMORY_MB = 24  # The process itself uses 20 MB.
 
 
 def _with_dashes(**fields: Schema) -> dict[str, Schema]:
-    """Returns the fields under their keys in the document, which have dashes in place of underscores."""
+    """Return the fields under their document keys, with dashes in place of underscores."""
     return {name.replace("_", "-"): schema for name, schema in fields.items()}
 
 
 NON_NEGATIVE = NumberSchema()
 POSITIVE = NumberSchema(exclusive_minimum=True)
-WHOLE_NUMBER = NumberSchema(integer=True)
-CLASS = ObjectSchema(
+NON_NEGATIVE_INTEGER = NumberSchema(integer=True)
+CLASS_SCHEMA = ObjectSchema(
     _with_dashes(
         name=StringSchema(),
         aim_s=POSITIVE,
@@ -45,12 +45,12 @@
     frozenset({"name", "aim-s", "give-up-s", "importance", "semantics"}),
     frozenset({"key-scope"}),
 )
-PLAN = ObjectSchema(
+PLAN_SCHEMA = ObjectSchema(
     _with_dashes(
         name=StringSchema(),
         refill=NON_NEGATIVE,
         burst=NON_NEGATIVE,
-        at_once=WHOLE_NUMBER,
+        at_once=NON_NEGATIVE_INTEGER,
         worth_factor=NON_NEGATIVE,
         over_worth=NON_NEGATIVE,
         excess_cost=NON_NEGATIVE,
@@ -60,7 +60,7 @@
     ),
     frozenset({"name", "refill", "burst"}),
 )
-LIMITS = _with_dashes(
+LIMIT_FIELDS = _with_dashes(
     max_attempts=NumberSchema(1, integer=True),
     second_copies=BooleanSchema(),
     cancel=BooleanSchema(),
@@ -75,7 +75,7 @@
     max_streams=NON_NEGATIVE,
     retry_after=BooleanSchema(),
 )
-RULES = _with_dashes(
+RULE_FIELDS = _with_dashes(
     answer_slack_s=NON_NEGATIVE,
     drain_grace_s=NON_NEGATIVE,
     cold_s=NON_NEGATIVE,
@@ -84,7 +84,7 @@
     fall_s=NON_NEGATIVE,
     ask_within_s=NON_NEGATIVE,
 )
-SERVICE = _with_dashes(
+SERVICE_FIELDS = _with_dashes(
     counter=BooleanSchema(),
     count_fee=NON_NEGATIVE,
     count_wait_s=NON_NEGATIVE,
@@ -93,11 +93,12 @@
     cost_after=BooleanSchema(),
     most_units=NumberSchema(1),
 )
-UNUSED_SETTINGS: dict[str, Schema] = dict.fromkeys(  # of the simulator alone: accepted and ignored
+# Settings that only the simulator uses are accepted and ignored.
+UNUSED_SETTINGS: dict[str, Schema] = dict.fromkeys(
     ("clients", "goal", "localities", "service-type", "shapes", "stage", "stages", "weight-kind"), AnySchema()
 )
-REPORT = ObjectSchema(_with_dashes(columns=ArraySchema(StringSchema()), how=StringSchema()))
-PRICES = ObjectSchema(
+REPORT_SCHEMA = ObjectSchema(_with_dashes(columns=ArraySchema(StringSchema()), how=StringSchema()))
+PRICES_SCHEMA = ObjectSchema(
     _with_dashes(probe=NON_NEGATIVE)
     | dict.fromkeys(
         (
@@ -116,42 +117,42 @@
         AnySchema(),
     )
 )
-SETTINGS = ObjectSchema(
+SETTINGS_SCHEMA = ObjectSchema(
     UNUSED_SETTINGS
     | _with_dashes(
         balancers=NumberSchema(1, integer=True),
-        self_index=WHOLE_NUMBER,
+        self_index=NON_NEGATIVE_INTEGER,
         zone=StringSchema(allow_empty=True),
         tick_s=POSITIVE,
         membership_mode=StringSchema(),
-        categories=ArraySchema(CLASS, 1, "name"),
-        contracts=ArraySchema(PLAN, 1, "name"),
-        limits=ObjectSchema(LIMITS),
-        rules=ObjectSchema(RULES),
-        family_info=ObjectSchema(SERVICE),
-        prices=PRICES,
-        report=REPORT,
+        categories=ArraySchema(CLASS_SCHEMA, 1, "name"),
+        contracts=ArraySchema(PLAN_SCHEMA, 1, "name"),
+        limits=ObjectSchema(LIMIT_FIELDS),
+        rules=ObjectSchema(RULE_FIELDS),
+        family_info=ObjectSchema(SERVICE_FIELDS),
+        prices=PRICES_SCHEMA,
+        report=REPORT_SCHEMA,
     ),
     frozenset({"balancers", "self-index", "categories", "contracts", "limits", "rules", "family-info"}),
 )
-PROCESS_LIMITS = ObjectSchema(
+PROCESS_LIMITS_SCHEMA = ObjectSchema(
     {
         "cores": POSITIVE,
         "memory_mb": NumberSchema(MIN_MEMORY_MB),
         "sockets": NumberSchema(MIN_SOCKETS, MAX_SOCKETS, integer=True),
     }
 )
-TLS = ObjectSchema(
+CLIENT_TLS_SCHEMA = ObjectSchema(
     {"certificate": StringSchema(), "key": StringSchema(), "ca": StringSchema()}, frozenset({"certificate", "key"})
 )
-ENDPOINT_TLS = ObjectSchema(
+ENDPOINT_TLS_SCHEMA = ObjectSchema(
     {"ca": StringSchema(), "name": StringSchema(), "certificate": StringSchema(), "key": StringSchema()},
     frozenset({"ca"}),
 )
-CHECKPOINT = ObjectSchema(
-    {"folder": StringSchema(), "every_s": NumberSchema(MIN_CHECKPOINT_INTERVAL)}, frozenset({"folder"})
+CHECKPOINT_SCHEMA = ObjectSchema(
+    {"folder": StringSchema(), "every_s": NumberSchema(MIN_CHECKPOINT_INTERVAL_S)}, frozenset({"folder"})
 )
-DOCUMENT = ObjectSchema(
+DOCUMENT_SCHEMA = ObjectSchema(
     {
         "name": StringSchema(),
         "listen": StringSchema(),
@@ -159,12 +160,12 @@
         "counter": StringSchema(),
         "control": StringSchema(),
         "seed": StringSchema(),
-        "limits": PROCESS_LIMITS,
+        "limits": PROCESS_LIMITS_SCHEMA,
         "known": AnySchema(),
-        "settings": SETTINGS,
-        "tls": TLS,
-        "server-tls": ENDPOINT_TLS,
-        "checkpoint": CHECKPOINT,
+        "settings": SETTINGS_SCHEMA,
+        "tls": CLIENT_TLS_SCHEMA,
+        "server-tls": ENDPOINT_TLS_SCHEMA,
+        "checkpoint": CHECKPOINT_SCHEMA,
     },
     frozenset({"name", "listen", "discovery", "seed", "limits", "settings"}),
     frozenset({"known", "counter", "control", "tls", "server-tls", "checkpoint"}),
--- a/ingress/configuration/json_schema.py
+++ b/ingress/configuration/json_schema.py
@@ -1,6 +1,6 @@
-"""Schemas of JSON documents: a validator reports every fault of a document in one pass, each with its path.
+"""JSON schemas, and a validator that reports every fault of a document in one pass, each with its path.
 
-Written for this program because a validation library takes longer to import than all the rest of it.
+A third-party validation library is not used because it takes longer to import than the rest of the program.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from msgspec import Struct, field
 
 MAX_NUMBER = 1e15
-MAX_SHOWN_CHARACTERS = 60  # of a value in a message
+MAX_SHOWN_VALUE_CHARACTERS = 60
 
 
 class JsonObject(dict[str, Any]):
-    """A JSON object that remembers which of its keys occurred more than once."""
+    """A JSON object that records which of its keys occurred more than once."""
 
     repeated_keys: tuple[str, ...] = ()
 
@@ -30,7 +30,7 @@
 
 
 def parse(text: str) -> Any:
-    """Parses a JSON document; its objects are of the class `JsonObject`.
+    """Parse a JSON document; its objects are instances of `JsonObject`.
 
     Raises:
         ValueError: The text is not JSON, or is nested too deeply.
@@ -58,7 +58,7 @@
 
 
 class BooleanSchema(Struct, frozen=True):
-    """True or false."""
+    """A Boolean value."""
 
 
 class AnySchema(Struct, frozen=True):
@@ -66,7 +66,7 @@
 
 
 class ArraySchema(Struct, frozen=True):
-    """A list of at least `min_items`; no two objects in it may share the value of `unique_key`, if that is set."""
+    """A list of at least `min_items`; if `unique_key` is set, its value must differ between the objects of the list."""
 
     items: Schema
     min_items: int = 0
@@ -74,7 +74,7 @@
 
 
 class ObjectSchema(Struct, frozen=True):
-    """An object: its fields, those that must be present, and those that may be null instead of absent."""
+    """An object with its fields, the required ones, and those that may be null instead of absent."""
 
     fields: Mapping[str, Schema]
     required: frozenset[str] = field(default_factory=frozenset)
@@ -86,22 +86,22 @@
 
 def _shorten(value: Any) -> str:
     text = repr(value)
-    return text if len(text) <= MAX_SHOWN_CHARACTERS else text[: MAX_SHOWN_CHARACTERS - 3] + "..."
+    return text if len(text) <= MAX_SHOWN_VALUE_CHARACTERS else text[: MAX_SHOWN_VALUE_CHARACTERS - 3] + "..."
 
 
 class Validator:
-    """Collects the faults of a document, and the paths of keys that its schema does not name."""
+    """Collects the faults of a document and the paths of keys that the schema does not define."""
 
     def __init__(self) -> None:
         self.faults: list[str] = []
         self.unknown_keys: list[str] = []
 
     def add_fault(self, path: str, text: str) -> None:
-        """Records one fault."""
+        """Record a fault of the value at `path`."""
         self.faults.append(f"{path}: {text}")
 
     def check(self, value: Any, schema: Schema, path: str) -> None:
-        """Records all faults of `value`, which stands at `path` in the document."""
+        """Record all faults of `value`, which is located at `path` in the document."""
         match schema:
             case ObjectSchema():
                 self._check_object(value, schema, path)
@@ -166,7 +166,7 @@
 
 
 def _within_bounds(value: float, schema: NumberSchema) -> bool:
-    """Tells whether a number is in range; NaN is not."""
+    """Report whether a number is within the bounds of the schema; NaN is not."""
     if schema.exclusive_minimum and value == schema.minimum:
         return False
     return schema.minimum <= value <= schema.maximum
--- a/ingress/configuration/settings_mapping.py
+++ b/ingress/configuration/settings_mapping.py
@@ -1,6 +1,6 @@
-"""Maps the names of settings in configuration files and on the simulator's wire to the fields of `Settings`.
+"""Mapping of the names in configuration files and in simulator messages to the fields of `Settings`.
 
-This is the only place that knows both vocabularies.
+This is the only module in which both sets of names occur.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 def read_settings(source: Source) -> Settings:
-    """Reads the settings object of a configuration file or of the simulator's `Start` message.
+    """Read the settings object of a configuration file or of the simulator's `Start` message.
 
     Raises:
         KeyError: A key without a default is missing.
-        ValueError: A value is impossible.
+        ValueError: A value is invalid.
     """
     shared = _limit_fields(source["limits"]) | _rule_fields(source["rules"]) | _service_fields(source["family-info"])
     classes = tuple(_read_class(entry) for entry in source["categories"])
@@ -58,7 +58,7 @@
 
 
 def _instance_fields(source: Source) -> dict[str, Any]:
-    """Which gateway this is, and what it can rely on."""
+    """Map the settings that identify this gateway and describe its environment."""
     columns = source.get("report", {}).get("columns", ())
     return {
         "gateway_index": source["self-index"],
@@ -72,7 +72,7 @@
 
 
 def _limit_fields(limits: Source) -> dict[str, Any]:
-    """What a gateway may do."""
+    """Map the settings that limit what a gateway may do."""
     return {
         "max_attempts": limits.get("max-attempts", 1),
         "hedging_allowed": limits.get("second-copies", False),
@@ -83,7 +83,7 @@
 
 
 def _rule_fields(rules: Source) -> dict[str, Any]:
-    """Durations and capacities of the endpoints and of discovery."""
+    """Map the durations and capacities of endpoints and discovery."""
     return {
         "answer_slack": rules.get("answer-slack-s", 0.0),
         "drain_grace": rules.get("drain-grace-s", 0.0),
@@ -96,7 +96,7 @@
 
 
 def _service_fields(info: Source) -> dict[str, Any]:
-    """The shared counter, the messages between gateways, and how requests are metered."""
+    """Map the settings of the shared counter, the messages between gateways and the metering of requests."""
     return {
         "peer_message_rate": info.get("mail-per-s", 0.0),
         "counter_available": info.get("counter", False),
--- a/ingress/configuration/versions.py
+++ b/ingress/configuration/versions.py
@@ -1,4 +1,4 @@
-"""The versions of the configuration: which one is active, which came before, and why a change was rejected."""
+"""The history of configuration versions: the active one, its predecessors and the last rejected change."""
 
 from __future__ import annotations
 
@@ -10,21 +10,17 @@
 
 from ingress.configuration.document import Config
 
-MAX_VERSIONS = 8  # the active one included
-MAX_DOCUMENT_BYTES = 16 << 20  # of all stored documents together
+MAX_VERSIONS = 8  # This includes the active version.
+MAX_STORED_DOCUMENT_BYTES = 16 << 20  # The documents of all stored versions count together.
 MAX_SHOWN_DIFFERENCES = 40
-MAX_SHOWN_CHARACTERS = 400  # of one difference
+MAX_SHOWN_DIFFERENCE_CHARACTERS = 400
 MAX_REJECTION_CHARACTERS = 1000
-IMMUTABLE_FIELDS = {  # by key of the document: fields of Config that a running process can't change
-    "name": "name",
-    "listen": "listen",
-    "control": "admin",
-    "checkpoint": "checkpoint",
-}
+# Document keys, with the fields of `Config` that a running process cannot change.
+IMMUTABLE_FIELDS = {"name": "name", "listen": "listen", "control": "admin", "checkpoint": "checkpoint"}
 
 
 class ConfigVersion(Struct, frozen=True):
-    """One configuration that was committed; `committed_at` is Unix time in seconds."""
+    """A committed configuration; `committed_at` is Unix time in seconds."""
 
     number: int
     config: Config
@@ -33,7 +29,7 @@
 
 
 def leaves(value: Any, path: str = "") -> Iterator[tuple[str, str]]:
-    """Yields each scalar of a document with its path; list entries go by their `name`, where they have one."""
+    """Yield the path and value of each scalar in a document; list items are identified by `name` if they have one."""
     if isinstance(value, dict):
         for name, inner in value.items():
             yield from leaves(inner, f"{path}.{name}" if path else name)
@@ -46,7 +42,7 @@
 
 
 def differences(old: Config, new: Config) -> list[str]:
-    """Returns `path: old -> new` for each value that differs between two documents, in the order of the paths."""
+    """Return `path: old -> new` for each value that differs between two documents, sorted by path."""
     before = dict(leaves(old.document))
     after = dict(leaves(new.document))
     return [
@@ -57,14 +53,24 @@
 
 
 class ConfigVersions:
-    """The history of the configuration, a stack: a change pushes a version, a revert replaces the top two by one."""
+    """The history of the configuration, as a stack.
+
+    A change pushes a version; a revert replaces the top two versions by one.
+
+    Attributes:
+        versions: The stored versions, the active one last.
+        last_number: The number of the active version.
+        differences: The differences between the active version and the one that was active before it.
+        last_rejection: The cause, time and reason of the last rejected change, or an empty string.
+        reverted_digest: The digest of the version that the latest change reverted, or an empty string.
+    """
 
     def __init__(self, config: Config) -> None:
         self.versions = [ConfigVersion(1, config, time.time(), "start")]
         self.last_number = 1
-        self.differences: list[str] = []  # between the active version and the one that was active before
-        self.last_rejection = ""  # with its cause, time and reason
-        self.reverted_digest = ""  # of the version that the latest change took back
+        self.differences: list[str] = []
+        self.last_rejection = ""
+        self.reverted_digest = ""
 
     @property
     def current(self) -> ConfigVersion:
@@ -73,11 +79,11 @@
 
     @property
     def previous(self) -> ConfigVersion | None:
-        """The version to which a revert would return."""
+        """The version that a revert would restore, or None if there is none."""
         return self.versions[-2] if len(self.versions) > 1 else None
 
     def immutable_key(self, config: Config) -> str:
-        """Returns the first key that `config` changes though a running process can't, or an empty string."""
+        """Return the first key that `config` changes and a running process cannot change, or an empty string."""
         active = self.current.config
         for key, field in IMMUTABLE_FIELDS.items():
             if getattr(config, field) != getattr(active, field):
@@ -85,7 +91,7 @@
         return ""
 
     def accept(self, config: Config, cause: str, is_revert: bool = False) -> ConfigVersion:
-        """Makes `config` the active version; a revert drops the active version and the one before it."""
+        """Make `config` the active version; a revert first drops the active version and the one before it."""
         replaced = self.current
         self.last_number += 1
         self.differences = differences(replaced.config, config)
@@ -101,20 +107,20 @@
         if len(self.versions) > MAX_VERSIONS:
             return True
         document_bytes = sum(version.config.document_size for version in self.versions)
-        return len(self.versions) > 1 and document_bytes > MAX_DOCUMENT_BYTES
+        return len(self.versions) > 1 and document_bytes > MAX_STORED_DOCUMENT_BYTES
 
     def inherit(self, earlier: list[Config]) -> None:
-        """Takes over the history of the predecessor process, the oldest first, below the active version."""
+        """Insert the history of the predecessor process, oldest version first, below the active version."""
         active = self.current
         inherited = [ConfigVersion(0, config, active.committed_at, "take over") for config in earlier]
         self.versions = [*inherited, active]
 
     def record_rejection(self, cause: str, reason: str) -> None:
-        """Remembers why the latest rejected change was rejected."""
+        """Record the cause and reason of a rejected change in place of the previous record."""
         self.last_rejection = f"{cause} at {_timestamp(time.time())}: {reason}"[:MAX_REJECTION_CHARACTERS]
 
     def lines(self) -> list[str]:
-        """Returns the text of the command `show-config`, without its last line."""
+        """Return the output lines of the `show-config` command, without its last line."""
         active = self.current
         omitted = len(self.differences) - MAX_SHOWN_DIFFERENCES
         return [
@@ -123,7 +129,10 @@
             f"cause: {active.cause}",
             f"since: {_timestamp(active.committed_at)}",
             f"before: {self.previous.number if self.previous else 'none'}",
-            *(f"differs: {line}"[:MAX_SHOWN_CHARACTERS] for line in self.differences[:MAX_SHOWN_DIFFERENCES]),
+            *(
+                f"differs: {line}"[:MAX_SHOWN_DIFFERENCE_CHARACTERS]
+                for line in self.differences[:MAX_SHOWN_DIFFERENCES]
+            ),
             *([f"differs: {omitted} more"] if omitted > 0 else []),
             f"refused: {self.last_rejection or 'none'}",
         ]
--- a/tests/test_net_changes.py
+++ b/tests/test_net_changes.py
@@ -247,7 +247,7 @@
         versions.accept(config(settings=with_plan(refill=float(n + 1))), "reload")
     assert len(versions.versions) == MAX_VERSIONS and versions.current.number == 3 * MAX_VERSIONS + 1
     monkeypatch.setattr(
-        "ingress.configuration.versions.MAX_DOCUMENT_BYTES", 3 * versions.current.config.document_size + 10
+        "ingress.configuration.versions.MAX_STORED_DOCUMENT_BYTES", 3 * versions.current.config.document_size + 10
     )
     versions.accept(config(settings=with_plan(refill=0.5)), "reload")
     assert len(versions.versions) == 3
