--- a/ingress/endpoint_registry/__init__.py
+++ b/ingress/endpoint_registry/__init__.py
@@ -1,1 +1,1 @@
-"""The list service: holds the list of schedule servers and tells ingresses of changes."""
+"""The endpoint registry: stores the list of endpoints and notifies ingresses of changes."""
--- a/ingress/endpoint_registry/__main__.py
+++ b/ingress/endpoint_registry/__main__.py
@@ -1,6 +1,7 @@
-"""The endpoint registry's programs: `python -m ingress.endpoint_registry --listen ADDR --data DIR` is the service.
+"""Command line of the endpoint registry.
 
-With `relay`, `register`, `backup`, `restore` or `check` as the first word it is another one.
+`python -m ingress.endpoint_registry --listen ADDR --data DIR` runs the service.
+The subcommands `relay`, `register`, `backup`, `restore` and `check` run the other programs.
 """
 
 from __future__ import annotations
@@ -29,91 +30,107 @@
 log = logging.getLogger(__name__)
 
 PROGRAM = "python -m ingress.endpoint_registry"
-MIN_TTL = 0.5  # s
-MAX_TTL = 86_400.0  # s
+MIN_TTL_S = 0.5
+MAX_TTL_S = 86_400.0
 
 Program = Callable[[], Awaitable[None]]
 
 
 def stop_event() -> asyncio.Event:
-    """An event that SIGTERM and SIGINT set."""
+    """Return an event that is set by SIGTERM and SIGINT."""
     stop = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        asyncio.get_running_loop().add_signal_handler(signal_number, stop.set)
     return stop
 
 
-async def serve(make: Callable[[], Service | Relay], host: str, port: int) -> None:
-    """Serves until SIGTERM or SIGINT; OSError where the address can't be listened on."""
+async def serve(create_service: Callable[[], Service | Relay], host: str, port: int) -> None:
+    """Serve until SIGTERM or SIGINT.
+
+    Raises:
+        OSError: The address cannot be listened on.
+    """
     stop = stop_event()
-    service = make()
+    service = create_service()
     listener = Listener(service.app())
     try:
         host, port = await listener.open(host, port)
         entries = len(service.catalog.entries())
-        log.info("the list at version %d, %d entries, on %s:%d", service.catalog.version, entries, host, port)
+        log.info(
+            "serving endpoint list version %d with %d entries on %s:%d", service.catalog.version, entries, host, port
+        )
         await stop.wait()
     finally:
         await listener.close()
         await service.close()
 
 
-def loopback(text: str, key: str) -> Address:
-    """Reads an address; ConfigError where it is none, or not on loopback."""
+def read_loopback_address(text: str, key: str) -> Address:
+    """Parse a loopback address and port.
+
+    Raises:
+        ConfigError: The text is not an address and port, or the address is not a loopback address.
+    """
     host, port = read_address(text, key)
     if not ip_address(host).is_loopback:
         raise ConfigError([f"{key}: {host} is not a loopback address"])
     return host, port
 
 
-def _parser(command: str, description: str) -> argparse.ArgumentParser:
+def _create_parser(command: str, description: str) -> argparse.ArgumentParser:
     return argparse.ArgumentParser(prog=f"{PROGRAM} {command}".strip(), description=description)
 
 
-def list_service(words: list[str]) -> Program:
-    """The service itself."""
-    parser = _parser("", "Holds the list.")
+def service_command(arguments: list[str]) -> Program:
+    """Parse the arguments of the service, open its store and return the program."""
+    parser = _create_parser("", "Run the endpoint registry service.")
     parser.add_argument("--listen", required=True, help="a loopback address and port")
     parser.add_argument("--data", required=True, type=Path, help="the folder of the store")
-    parser.add_argument("--token-file", type=Path, help="what a write must carry; without it, no writes")
-    parser.add_argument("--restore", type=Path, help="a copy that takes the place of what is stored")
-    given = parser.parse_args(words)
-    host, port = loopback(given.listen, "--listen")
-    token = given.token_file.read_text(encoding="utf-8").strip() if given.token_file else ""
-    if given.token_file and not token:
-        raise ConfigError(["--token-file: it is empty"])
-    store = Store(given.data, restore=given.restore)
+    parser.add_argument(
+        "--token-file",
+        type=Path,
+        help="file with the token that writes must carry; without it, all writes are rejected",
+    )
+    parser.add_argument("--restore", type=Path, help="a backup that replaces the content of the store")
+    options = parser.parse_args(arguments)
+    host, port = read_loopback_address(options.listen, "--listen")
+    token = options.token_file.read_text(encoding="utf-8").strip() if options.token_file else ""
+    if options.token_file and not token:
+        raise ConfigError([f"--token-file: {options.token_file} is empty"])
+    store = Store(options.data, restore=options.restore)
     return lambda: serve(lambda: Service(store, token), host, port)
 
 
-def relay(words: list[str]) -> Program:
-    """A relay of the list."""
-    parser = _parser("relay", "Passes the list on.")
-    parser.add_argument("--upstream", required=True, nargs="+", help="addresses, asked in turn")
+def relay(arguments: list[str]) -> Program:
+    """Parse the arguments of the relay and return the program."""
+    parser = _create_parser("relay", "Relay the endpoint list of an upstream service.")
+    parser.add_argument("--upstream", required=True, nargs="+", help="upstream addresses, tried in turn")
     parser.add_argument("--listen", required=True, help="a loopback address and port")
-    parser.add_argument("--data", type=Path, help="a folder for the last list, to start with in an outage")
-    given = parser.parse_args(words)
-    upstream = [loopback(text, "--upstream") for text in given.upstream]
-    host, port = loopback(given.listen, "--listen")
-    cache = RelayCache(given.data)
+    parser.add_argument(
+        "--data", type=Path, help="a folder to cache the last list, used after a start during an outage"
+    )
+    options = parser.parse_args(arguments)
+    upstream = [read_loopback_address(text, "--upstream") for text in options.upstream]
+    host, port = read_loopback_address(options.listen, "--listen")
+    cache = RelayCache(options.data)
     return lambda: serve(lambda: Relay(upstream, cache), host, port)
 
 
-def check(words: list[str]) -> int:
-    """Verifies stores and backups; the exit status."""
-    parser = _parser("check", "Verifies stores and copies; changes nothing.")
-    parser.add_argument("path", nargs="+", type=Path, help="a store's folder, a folder of copies, or a file")
-    count = 0
-    for path in parser.parse_args(words).path:
+def check(arguments: list[str]) -> int:
+    """Verify stores and backups, and return the exit status."""
+    parser = _create_parser("check", "Verify stores and backups without changing them.")
+    parser.add_argument("path", nargs="+", type=Path, help="the folder of a store, a folder of backups, or a file")
+    fault_count = 0
+    for path in parser.parse_args(arguments).path:
         files = _files_to_check(path)
         if not files:
-            print(f"{path}: holds no store and no copy")
-            count += 1
+            print(f"{path}: contains no store and no backup")
+            fault_count += 1
         for file in files:
             faults = list(verify(file))
-            count += len(faults)
+            fault_count += len(faults)
             print("\n".join(faults) if faults else f"{file}: good")
-    return 1 if count else 0
+    return 1 if fault_count else 0
 
 
 def _files_to_check(path: Path) -> list[Path]:
@@ -123,59 +140,59 @@
     return [store] if store.exists() else [path / backup.file for backup in backups(path)]
 
 
-def backup_command(words: list[str]) -> int:
-    """Takes a backup; the exit status."""
-    parser = _parser("backup", "Copies a store while it is in use, and verifies the copy.")
+def backup_command(arguments: list[str]) -> int:
+    """Take a backup, and return the exit status."""
+    parser = _create_parser("backup", "Back up a store, which may be in use, and verify the backup.")
     parser.add_argument("--data", required=True, type=Path, help="the folder of the store")
-    parser.add_argument("--to", required=True, type=Path, help="the folder of the copies")
-    parser.add_argument("--keep", type=int, default=0, help="copies to keep; 0, as without it, keeps all")
-    given = parser.parse_args(words)
-    backup = take_backup(given.data, given.to, given.keep)
-    print(f"{given.to / backup.file}: version {backup.version}, {backup.entries} entries, {backup.size} bytes")
+    parser.add_argument("--to", required=True, type=Path, help="the folder of the backups")
+    parser.add_argument("--keep", type=int, default=0, help="number of backups to keep; 0, the default, keeps all")
+    options = parser.parse_args(arguments)
+    backup = take_backup(options.data, options.to, options.keep)
+    print(f"{options.to / backup.file}: version {backup.version}, {backup.entries} entries, {backup.size} bytes")
     return 0
 
 
-def restore(words: list[str]) -> int:
-    """Restores a backup; the exit status."""
-    parser = _parser("restore", "Puts a copy in the place of a store; no service may hold it.")
+def restore(arguments: list[str]) -> int:
+    """Restore a backup, and return the exit status."""
+    parser = _create_parser("restore", "Replace the content of a store with a backup; no service may use the store.")
     parser.add_argument("--data", required=True, type=Path, help="the folder of the store")
-    parser.add_argument("--from", required=True, type=Path, dest="source", help="the folder of the copies")
-    parser.add_argument("--version", type=int, help="the newest copy of this version or before")
+    parser.add_argument("--from", required=True, type=Path, dest="source", help="the folder of the backups")
+    parser.add_argument("--version", type=int, help="restore the newest backup of this list version or an earlier one")
     parser.add_argument(
         "--at",
         type=datetime.fromisoformat,
-        help="the newest copy taken by then, as 2026-12-01T12:00:00+00:00; without a zone it is UTC",
+        help="restore the newest backup taken by this time, such as 2026-12-01T12:00:00+00:00; UTC without an offset",
     )
-    given = parser.parse_args(words)
-    at = given.at and (given.at if given.at.tzinfo else given.at.replace(tzinfo=UTC)).timestamp()
-    copy = choose(given.source, given.version, at)
-    store = Store(given.data, restore=copy)
-    print(f"{copy}: {len(store.rows)} entries are in place, at version {store.version}")
+    options = parser.parse_args(arguments)
+    at = options.at and (options.at if options.at.tzinfo else options.at.replace(tzinfo=UTC)).timestamp()
+    backup_path = choose(options.source, options.version, at)
+    store = Store(options.data, restore=backup_path)
+    print(f"{backup_path}: restored {len(store.rows)} entries at version {store.version}")
     store.close()
     return 0
 
 
-def register(words: list[str]) -> Program:
-    """Registers an endpoint and keeps its lease."""
-    parser = _parser("register", "Keeps a server's entry in the list until SIGTERM.")
-    parser.add_argument("--service", required=True, nargs="+", help="addresses of the list service, tried in turn")
+def register(arguments: list[str]) -> Program:
+    """Parse the arguments of a registration and return the program that keeps it."""
+    parser = _create_parser("register", "Keep an endpoint registered until SIGTERM.")
+    parser.add_argument("--service", required=True, nargs="+", help="addresses of the registry, tried in turn")
     parser.add_argument("--token-file", required=True, type=Path)
     parser.add_argument("--id", required=True)
-    parser.add_argument("--addr", required=True, help="where the server listens")
-    parser.add_argument("--ttl", type=float, default=10.0, help="s that the entry lives without a renewal")
+    parser.add_argument("--addr", required=True, help="the address and port on which the endpoint listens")
+    parser.add_argument("--ttl", type=float, default=10.0, help="lease duration in seconds")
     parser.add_argument("--zone", default="")
-    parser.add_argument("--drain", type=float, default=3.0, help="s between draining and gone at the end")
-    given = parser.parse_args(words)
-    read_address(given.addr, "--addr")
-    if not MIN_TTL <= given.ttl <= MAX_TTL:
-        raise ConfigError([f"--ttl: {given.ttl:g} is not between 0.5 and 86400"])
-    entry = Entry(given.id, given.addr, given.ttl, given.zone, started_ms=int(time.time() * 1000))
-    token = given.token_file.read_text(encoding="utf-8").strip()
-    services = [loopback(text, "--service") for text in given.service]
+    parser.add_argument("--drain", type=float, default=3.0, help="seconds between draining and removal at the end")
+    options = parser.parse_args(arguments)
+    read_address(options.addr, "--addr")
+    if not MIN_TTL_S <= options.ttl <= MAX_TTL_S:
+        raise ConfigError([f"--ttl: {options.ttl:g} is not between {MIN_TTL_S:g} and {MAX_TTL_S:g}"])
+    entry = Entry(options.id, options.addr, options.ttl, options.zone, started_ms=int(time.time() * 1000))
+    token = options.token_file.read_text(encoding="utf-8").strip()
+    services = [read_loopback_address(text, "--service") for text in options.service]
     registration = Registration(services, entry, token, random.Random())
 
     async def run() -> None:
-        await registration.run(stop_event(), given.drain)
+        await registration.run(stop_event(), options.drain)
 
     return run
 
@@ -189,14 +206,14 @@
 
 
 def main() -> int:
-    """Runs what the command line says; the exit status."""
+    """Run the program that the command line names, and return the exit status."""
     logging.basicConfig(level=logging.INFO, stream=sys.stderr, format="%(levelname)s %(name)s: %(message)s")
-    words = sys.argv[1:]
-    command = words[0] if words else ""
+    arguments = sys.argv[1:]
+    command = arguments[0] if arguments else ""
     try:
         if command in IMMEDIATE_COMMANDS:
-            return IMMEDIATE_COMMANDS[command](words[1:])
-        run = PROGRAMS[command](words[1:]) if command in PROGRAMS else list_service(words)
+            return IMMEDIATE_COMMANDS[command](arguments[1:])
+        run = PROGRAMS[command](arguments[1:]) if command in PROGRAMS else service_command(arguments)
     except (ConfigError, StoreError, OSError, ValueError) as error:
         print(f"ingress.endpoint_registry: {error}", file=sys.stderr)
         return 2
--- a/ingress/endpoint_registry/backups.py
+++ b/ingress/endpoint_registry/backups.py
@@ -1,7 +1,7 @@
-"""Backups of the store: taken while it is in use, verified before they count, found again by version or time.
+"""Backups of the store: taken while the store is in use, verified, and selected by version or time.
 
-A backup is `list-VERSION.db` with its description `list-VERSION.json` beside it.  Both are on disk under other names
-before they get these, the copy first: one without its description was not finished, and is no backup.
+A backup consists of `list-VERSION.db` and its description `list-VERSION.json`.  Both files are synced to disk under
+temporary names before they are renamed, the copy first: a copy without a description is incomplete and not a backup.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from pathlib import Path
 
 from ingress.endpoint_registry.store import (
-    SCHEMA,
+    SCHEMA_VERSION,
     DamagedStoreError,
     StoreError,
     open_to_read,
@@ -30,16 +30,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Backup:
-    """The description that is written beside a copy.
+    """The description that is stored next to a copy.
 
     Attributes:
-        file: the name of the copy.
-        size: its bytes.
-        sha256: of its bytes.
-        version: of the list in it.
-        entries: how many it has.
-        schema: of its tables.
-        taken: when, in Unix time (s).
+        file: The file name of the copy.
+        size: The size of the copy in bytes.
+        sha256: The SHA-256 digest of the copy, in hexadecimal.
+        version: The version of the endpoint list in the copy.
+        entries: The number of entries in the copy.
+        schema: The schema version of the tables.
+        taken: The Unix time in seconds at which the backup was taken.
     """
 
     file: str
@@ -52,15 +52,15 @@
 
 
 def take_backup(store: Path, folder: Path, keep: int = 0) -> Backup:
-    """Copies a store while it is in use.
+    """Back up a store, which may be in use.
 
     Args:
-        store: the store's folder.
-        folder: where the backups are.
-        keep: backups that stay, the newest ones; 0 for all.
+        store: The folder of the store.
+        folder: The folder of the backups.
+        keep: The number of newest backups to keep; 0 keeps all.
 
     Raises:
-        StoreError: the store or the copy is not what was written; then nothing is left behind.
+        StoreError: The store cannot be copied, or the copy fails verification; its temporary files are removed.
     """
     source = store / "list.db"
     draft = folder / f".taking-{os.getpid()}.db"
@@ -76,7 +76,7 @@
         draft_description.rename(_description_of(folder, backup))
         sync(folder)
     except (sqlite3.Error, OSError, DamagedStoreError) as error:
-        raise StoreError(f"{source}: {error}") from error
+        raise StoreError(f"{source}: backup to {folder} failed: {error}") from error
     finally:
         for path in (draft, draft.with_suffix(".json")):
             path.unlink(missing_ok=True)
@@ -86,29 +86,29 @@
 
 
 def _copy_verified(source: Path, draft: Path) -> Backup:
-    with open_to_read(source) as base, sqlite3.connect(draft) as other:
-        base.backup(other)
-        other.execute("PRAGMA journal_mode=DELETE")
-    other.close()
+    with open_to_read(source) as source_database, sqlite3.connect(draft) as copy:
+        source_database.backup(copy)
+        copy.execute("PRAGMA journal_mode=DELETE")
+    copy.close()
     faults = list(store_faults(draft))
     if faults:
-        raise StoreError(f"{source}: {'; '.join(faults)}")
-    with open_to_read(draft) as base:
-        summary = read_summary(base)
+        raise StoreError(f"{source}: the copy failed verification: {'; '.join(faults)}")
+    with open_to_read(draft) as database:
+        summary = read_summary(database)
     return Backup(
         f"list-{summary.version:020d}.db",
         draft.stat().st_size,
         digest(draft),
         summary.version,
         summary.entries,
-        SCHEMA,
+        SCHEMA_VERSION,
         round(time.time(), 3),
     )
 
 
 def _remove_all_but(folder: Path, keep: int) -> None:
     for old in list(backups(folder))[:-keep]:
-        # The description goes first: without it what is left is no backup.
+        # The description is removed first: a copy without it does not count as a backup.
         _description_of(folder, old).unlink(missing_ok=True)
         (folder / old.file).unlink(missing_ok=True)
 
@@ -118,10 +118,10 @@
 
 
 def backups(folder: Path) -> Iterator[Backup]:
-    """All backups of a folder, the oldest version first.
+    """Yield the backups in a folder, the oldest version first.
 
     Raises:
-        StoreError: a description makes no sense.
+        StoreError: A description cannot be read or is invalid.
     """
     for path in sorted(folder.glob("list-*.json")):
         yield _read_description(path)
@@ -131,26 +131,35 @@
     try:
         backup = Backup(**json.loads(path.read_text(encoding="utf-8")))
     except (OSError, ValueError, TypeError) as error:
-        raise StoreError(f"{path}: {error}") from None
-    if backup.file != path.name.replace(".json", ".db") or not isinstance(backup.version, int):
-        raise StoreError(f"{path}: it describes another file")
+        raise StoreError(f"{path}: the backup description is unreadable or invalid: {error}") from None
+    expected_file = path.name.replace(".json", ".db")
+    if backup.file != expected_file or not isinstance(backup.version, int):
+        raise StoreError(
+            f"{path}: describes file {backup.file!r} at version {backup.version!r}; "
+            f"expected file {expected_file!r} and an integer version"
+        )
     return backup
 
 
 def choose(folder: Path, version: int | None = None, taken: float | None = None) -> Path:
-    """The newest backup of at most this version that was taken by then (Unix time in s), verified.
+    """Return the path of the newest matching backup, after verifying it.
+
+    Args:
+        folder: The folder of the backups.
+        version: The highest list version to accept; None accepts any.
+        taken: The latest time of the backup to accept, as Unix time in seconds; None accepts any.
 
     Raises:
-        StoreError: there is none, or it is not what was written.
+        StoreError: No backup matches, or the backup fails verification.
     """
-    fitting = [
+    matching = [
         backup
         for backup in backups(folder)
         if (version is None or backup.version <= version) and (taken is None or backup.taken <= taken)
     ]
-    if not fitting:
-        raise StoreError(f"{folder}: no copy is as old as that")
-    path = folder / fitting[-1].file
+    if not matching:
+        raise StoreError(f"{folder}: no backup matches the requested version and time")
+    path = folder / matching[-1].file
     faults = list(verify(path))
     if faults:
         raise StoreError("; ".join(faults))
@@ -158,31 +167,31 @@
 
 
 def verify(path: Path) -> Iterator[str]:
-    """Every fault of a backup or a store, each with the file's name; nothing is changed."""
+    """Yield every fault of a backup or store file, each with the file name, without changing the file."""
     description = path.with_suffix(".json")
     if description.exists():
         try:
             backup = Backup(**json.loads(description.read_text(encoding="utf-8")))
         except (OSError, ValueError, TypeError) as error:
-            yield f"{description}: {error}"
+            yield f"{description}: the backup description is unreadable or invalid: {error}"
             return
         try:
             size = path.stat().st_size
             if size != backup.size:
-                yield f"{path}: {size} bytes, {backup.size} were written"
+                yield f"{path}: the size is {size} bytes; the backup description has {backup.size} bytes"
             elif digest(path) != backup.sha256:
-                yield f"{path}: its bytes are not those that were written"
+                yield f"{path}: the SHA-256 digest differs from the backup description"
         except OSError as error:
-            yield f"{path}: {error.strerror}"
+            yield f"{path}: cannot read the backup: {error.strerror}"
             return
     for fault in store_faults(path):
         yield f"{path}: {fault}"
 
 
 def digest(path: Path) -> str:
-    """The SHA-256 of a file, in hex."""
-    found = hashlib.sha256()
+    """Return the SHA-256 digest of a file, in hexadecimal."""
+    file_hash = hashlib.sha256()
     with path.open("rb") as file:
         while block := file.read(BLOCK_BYTES):
-            found.update(block)
-    return found.hexdigest()
+            file_hash.update(block)
+    return file_hash.hexdigest()
--- a/ingress/endpoint_registry/catalog.py
+++ b/ingress/endpoint_registry/catalog.py
@@ -7,22 +7,23 @@
 from collections.abc import Iterable, Mapping
 from typing import Any, TypeAlias
 
-EntryRecord: TypeAlias = Mapping[str, Any]  # an entry in discovery's form
+EntryRecord: TypeAlias = Mapping[str, Any]  # An entry in the format of the discovery protocol.
 
-MAX_TOMBSTONES = 4096  # removed entries remembered: how far back a watch may ask for changes
-MAX_ENCODED_RESPONSES = 64  # cached for one version
+# Removed entries are remembered so that a watch can receive their removal; the limit bounds how far back it may ask.
+MAX_TOMBSTONES = 4096
+MAX_ENCODED_RESPONSES = 64  # The cache is cleared with each new version.
 
 
 class Catalog:
-    """All entries at one version; versions only rise.
+    """All entries at one version; versions only increase.
 
     Attributes:
-        version: of the last change.
-        oldest_known_version: from an earlier version on, the changes are not all known any more.
-        last_changes: each id with the version and the entry of its last change, latest last; removed ones too.
-        tombstones: ids that were removed, oldest first.
-        encoded_responses: response bodies of this version, by the version that a caller has.
-        encode_count: how often a response was encoded.
+        version: The version of the last change.
+        oldest_known_version: The oldest version since which all changes are known.
+        last_changes: The version and entry of the last change by id, latest last, including removed entries.
+        tombstones: The ids of removed entries, oldest removal first.
+        encoded_responses: The encoded response bodies of this version, by the version that the caller has.
+        encode_count: The number of responses encoded so far.
     """
 
     def __init__(self, version: int, entries: Iterable[tuple[EntryRecord, int]] = ()) -> None:
@@ -36,21 +37,21 @@
             self.last_changes[entry["id"]] = changed_at, entry
 
     def entries(self) -> list[EntryRecord]:
-        """All entries, in the order of their last change."""
+        """Return all entries that are not removed, in the order of their last change."""
         return [entry for name, (_, entry) in self.last_changes.items() if name not in self.tombstones]
 
     def entry(self, name: str) -> tuple[int, EntryRecord] | None:
-        """The version of an entry's last change and the entry; None where it is not there."""
+        """Return the version of an entry's last change and the entry, or None if it is not in the list."""
         return None if name in self.tombstones else self.last_changes.get(name)
 
     def apply(self, version: int, entries: Iterable[EntryRecord]) -> None:
-        """Applies changes; an entry whose state is `gone` is removed.
+        """Apply changes; an entry whose state is `gone` is removed.
 
         Raises:
-            ValueError: the version is not above the present one.
+            ValueError: The version is not above the current one.
         """
         if version <= self.version:
-            raise ValueError(f"version {version} after {self.version}")
+            raise ValueError(f"cannot apply version {version}: the catalog is at version {self.version}")
         self.version = version
         self.encoded_responses.clear()
         for entry in entries:
@@ -65,7 +66,7 @@
             self.oldest_known_version = max(self.oldest_known_version, self.last_changes.pop(name)[0])
 
     def changes_since(self, after: int | None) -> tuple[bool, list[EntryRecord]]:
-        """Whether the result is the full list, and its entries: all, or those that changed after a version."""
+        """Return whether the result is the full list, and its entries: all, or those that changed after a version."""
         if after is None or after < self.oldest_known_version or after > self.version:
             return True, self.entries()
         changes = []
@@ -76,7 +77,7 @@
         return False, changes[::-1]
 
     def response(self, after: int | None) -> bytes:
-        """The response body for callers that have the version `after`, encoded once for all of them."""
+        """Return the response body for callers at version `after`; it is encoded once and cached."""
         if after is not None and not self.oldest_known_version <= after <= self.version:
             after = None
         if after not in self.encoded_responses:
--- a/ingress/endpoint_registry/leases.py
+++ b/ingress/endpoint_registry/leases.py
@@ -1,26 +1,27 @@
-"""Leases: which entries have expired, and which are suspended because too many would expire together."""
+"""Leases of entries: their expiry, and its suspension when too many would expire together."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-MAX_EXPIRED_SHARE = 0.3  # of the leased entries: more that expire within one lease are suspended
-MAX_CHECK_GAP = 1.0  # s between two checks; a longer gap shows CPU starvation
+# If more than this ratio of the leased entries expires within the longest lease, further ones are suspended.
+MAX_EXPIRED_RATIO = 0.3
+MAX_CHECK_GAP_S = 1.0  # A longer gap between two checks indicates CPU starvation.
 
 
 class Leases:
-    """Leases on a clock that never goes back, in seconds; the owner calls `expire` at short intervals.
+    """Leases by entry id, in seconds of a monotonic clock; the owner calls `expire` at short intervals.
 
     Attributes:
-        durations: s that each lease lasts.
-        expires_at: when each lease ends.
-        suspended: entries that would have expired, and since when.
-        recent_expiries: when entries expired, within the longest lease.
-        checked_at: when `expire` was called last.
+        durations: The duration of each lease.
+        expires_at: The time at which each lease ends.
+        suspended: The suspended entries, with the time since which each is suspended.
+        recent_expiries: The times of expiries within the duration of the longest lease.
+        checked_at: The time of the last call of `expire`.
     """
 
     def __init__(self, now: float, durations: Iterable[tuple[str, float]] = ()) -> None:
-        """Each lease begins anew: an outage of the service ends none."""
+        """Start each lease with its full duration, so that none ends through an outage of the service."""
         self.durations = dict(durations)
         self.expires_at = {name: now + duration for name, duration in self.durations.items()}
         self.suspended: dict[str, float] = {}
@@ -28,26 +29,26 @@
         self.checked_at = now
 
     def grant(self, name: str, duration: float, now: float) -> None:
-        """Gives an entry a lease of `duration` s, in place of the one it has."""
+        """Grant an entry a lease of `duration` seconds, replacing its current lease."""
         self.durations[name] = duration
         self.expires_at[name] = now + duration
         self.suspended.pop(name, None)
 
     def renew(self, name: str, now: float) -> bool:
-        """Begins an entry's lease anew; whether it has one."""
+        """Restart the lease of an entry, and return whether it has one."""
         if name not in self.durations:
             return False
         self.grant(name, self.durations[name], now)
         return True
 
     def remove(self, name: str) -> None:
-        """Forgets an entry."""
-        for by_name in (self.durations, self.expires_at, self.suspended):
-            by_name.pop(name, None)
+        """Remove the lease of an entry, if it has one."""
+        for values_by_name in (self.durations, self.expires_at, self.suspended):
+            values_by_name.pop(name, None)
 
     def expire(self, now: float) -> list[str]:
-        """The entries whose lease has ended and that are to be removed now."""
-        if now - self.checked_at > MAX_CHECK_GAP:
+        """Return the entries whose lease has ended and that must be removed now."""
+        if now - self.checked_at > MAX_CHECK_GAP_S:
             # Guards against CPU starvation, in which no renewals are received.
             self.expires_at = {name: now + duration for name, duration in self.durations.items()}
         self.checked_at = now
@@ -56,7 +57,7 @@
         self.recent_expiries = [at for at in self.recent_expiries if now - at < longest]
         total = len(self.durations) + len(self.recent_expiries)
         missing = len(expired) + len(self.recent_expiries) + len(self.suspended)
-        if expired and missing > max(1.0, MAX_EXPIRED_SHARE * total):
+        if expired and missing > max(1.0, MAX_EXPIRED_RATIO * total):
             # Guards against a fault of the network or of this service that would empty the list.
             self.suspended.update(dict.fromkeys(expired, now))
             return []
@@ -64,5 +65,5 @@
         return expired
 
     def suspended_oldest_first(self) -> list[str]:
-        """The suspended entries, which an operator may release for removal."""
+        """Return the suspended entries, which an operator may release for removal."""
         return sorted(self.suspended, key=lambda name: self.suspended[name])
--- a/ingress/endpoint_registry/list_api.py
+++ b/ingress/endpoint_registry/list_api.py
@@ -1,4 +1,4 @@
-"""Reading the list over HTTP, as a whole and as a watch.  The service and the relay share it."""
+"""The read API of the endpoint list: the full list and watches.  The service and the relay share it."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 MAX_WATCHERS = 2000
 MAX_WAIT_MS = 60_000
-MAX_DIGITS = 18  # of a number in a query
-NOTIFY_DELAY = 0.05  # s: changes within it make one response
-RETRY_AFTER_RANGE = (1, 5)  # s, drawn anew for each caller that is rejected
+MAX_QUERY_DIGITS = 18
+NOTIFY_DELAY_S = 0.05  # Changes within this time are sent in one response.
+RETRY_AFTER_RANGE_S = (1, 5)  # A random value is drawn for each rejected caller, so that they do not retry together.
 
 
 class CallRejectedError(IngressError):
-    """A call that changes nothing; `status` is the HTTP status, `faults` say what is wrong."""
+    """A call that is rejected without any change; `status` is the HTTP status, `faults` are the reasons."""
 
     def __init__(self, status: int, *faults: str) -> None:
         super().__init__("; ".join(faults))
@@ -28,14 +28,14 @@
 
 
 class ListApi:
-    """Serves one catalog to all that read it.
+    """Serves a catalog to readers and watches.
 
     Attributes:
-        catalog: what is served.
-        name: tells one store from another.
-        change: is done with the next change of the catalog.
-        watchers: watches that wait for a change.
-        rejected_count: calls rejected because there were too many.
+        catalog: The catalog that is served.
+        name: The name of the store, sent as `X-Store`.
+        change: The future that completes when waiting watches are notified of the next change.
+        watchers: The number of watches that wait for a change.
+        rejected_count: The number of calls that were rejected as too many.
     """
 
     def __init__(self, catalog: Catalog, name: str) -> None:
@@ -48,9 +48,9 @@
         self.rejected_count = 0
 
     def notify(self) -> None:
-        """Answers the watches soon, with all changes until then."""
+        """Notify the watches after a short delay, so that one response contains all changes within it."""
         if self.wake_timer is None:
-            self.wake_timer = self.loop.call_later(NOTIFY_DELAY, self._wake)
+            self.wake_timer = self.loop.call_later(NOTIFY_DELAY_S, self._wake)
 
     def _wake(self) -> None:
         self.wake_timer = None
@@ -59,12 +59,12 @@
         change.set_result(None)
 
     def stop_notifying(self) -> None:
-        """Leaves the watches as they are; for the end of the process."""
+        """Cancel a pending notification without answering the watches; called at shutdown."""
         if self.wake_timer is not None:
             self.wake_timer.cancel()
 
     async def get_targets(self, request: web.Request) -> web.StreamResponse:
-        """The list, or the changes after a version; with `wait_ms`, once there are any."""
+        """Return the list, or the changes after a version; with `wait_ms`, wait until there are any."""
         after = read_query_number(request, "after")
         wait_ms = read_query_number(request, "wait_ms")
         if after is not None and wait_ms and after == self.catalog.version:
@@ -87,23 +87,23 @@
             self.watchers -= 1
 
     def reject_busy(self) -> web.Response:
-        """The response to a call that can't be served now."""
+        """Count a rejected call, and return a 503 response with a random Retry-After."""
         self.rejected_count += 1
         return web.json_response(
-            {"errors": ["too many"]}, status=503, headers={"Retry-After": str(random.randint(*RETRY_AFTER_RANGE))}
+            {"errors": ["too many"]}, status=503, headers={"Retry-After": str(random.randint(*RETRY_AFTER_RANGE_S))}
         )
 
 
 def read_query_number(request: web.Request, name: str) -> int | None:
-    """A whole number of the query; None where it is not there.
+    """Return a non-negative integer from the query, or None if it is absent.
 
     Raises:
-        CallRejectedError: it is not a whole number from 0.
+        CallRejectedError: The value is not a non-negative integer.
     """
     text = request.query.get(name)
     if text is None:
         return None
-    if not (text.isascii() and text.isdecimal() and len(text) <= MAX_DIGITS):
+    if not (text.isascii() and text.isdecimal() and len(text) <= MAX_QUERY_DIGITS):
         raise CallRejectedError(400, f"{name}: {text[:40]!r} is not a whole number from 0")
     return int(text)
 
@@ -112,7 +112,7 @@
 async def answer_rejections(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Turns a `CallRejectedError` into the response that says so."""
+    """Convert a `CallRejectedError` to a JSON response with its status and faults."""
     try:
         return await handler(request)
     except CallRejectedError as error:
--- a/ingress/endpoint_registry/registration.py
+++ b/ingress/endpoint_registry/registration.py
@@ -1,7 +1,7 @@
-"""Registration: an endpoint's entry, kept alive by renewals of its lease through outages of the registry.
+"""Registration of an endpoint: its lease is renewed periodically, also through outages of the registry.
 
-A renewal that fails is retried with exponential backoff and jitter, at the next address each time.  A registry that
-does not know the entry (its store was lost or restored) gets all of it again.
+A failed renewal is retried with exponential backoff and jitter, at the next address each time.  A registry that does
+not have the entry (its store was lost or restored) receives the full entry again.
 """
 
 from __future__ import annotations
@@ -21,24 +21,24 @@
 
 log = logging.getLogger(__name__)
 
-RENEWALS_PER_LEASE = 3.0  # on the mean: two may fail
-RENEWAL_JITTER = 0.2  # of the time between two: endpoints that start together don't renew together
-MIN_BACKOFF = 0.2  # s, doubled for each further retry
-MAX_BACKOFF = 5.0  # s
-MAX_DOUBLINGS = 8
-BACKOFF_JITTER = 0.5  # of the backoff
-CALL_TIMEOUT = 2.0  # s for an answer
-LOGGED_FAILURES = (0, 10, 100, 1000)  # in a row: these are logged
-FINAL_STATUSES = (HTTPStatus.BAD_REQUEST, HTTPStatus.UNAUTHORIZED, HTTPStatus.FORBIDDEN, HTTPStatus.CONFLICT)
+RENEWALS_PER_LEASE = 3.0  # On average; two consecutive renewals may fail.
+RENEWAL_JITTER_RATIO = 0.2  # Jitter prevents endpoints that start together from renewing together.
+MIN_BACKOFF_S = 0.2  # The backoff doubles with each further retry.
+MAX_BACKOFF_S = 5.0
+MAX_BACKOFF_DOUBLINGS = 8
+BACKOFF_JITTER_RATIO = 0.5
+CALL_TIMEOUT_S = 2.0
+LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # A failure is logged if this many consecutive failures precede it.
+PERMANENT_ERROR_STATUSES = (HTTPStatus.BAD_REQUEST, HTTPStatus.UNAUTHORIZED, HTTPStatus.FORBIDDEN, HTTPStatus.CONFLICT)
 
 
 class RegistrationRejectedError(IngressError):
-    """The registry rejects the entry or the token; a retry would not help."""
+    """The registry rejected the entry or the token; a retry would not help."""
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What is registered, by the names of `PUT /api/targets/ID`; `ttl_s` is how long the lease lasts."""
+    """The entry to register, with the field names of `PUT /api/targets/ID`; `ttl_s` is the lease duration."""
 
     id: str
     addr: str
@@ -50,18 +50,18 @@
     started_ms: int = 0
 
     def request_body(self) -> dict[str, Any]:
-        """The body of the call that registers it."""
+        """Return the JSON body of the call that registers the entry."""
         return {key: getattr(self, key) for key in ("addr", "ttl_s", "zone", "kind", "cell", "weight", "started_ms")}
 
 
 class Registration:
-    """Keeps one entry in the list for as long as `run` runs, then drains and removes it.
+    """Keeps one entry registered while `run` runs, then drains and removes it.
 
     Attributes:
-        services: addresses of the registry; the first is called next.
-        is_registered: the registry that was called last has the entry.
-        renewals: successful calls.
-        failures: failed calls in a row.
+        services: The addresses of the registry; the first one is called next.
+        is_registered: Whether the registry that was called last has the entry.
+        renewals: The number of successful registrations and renewals.
+        failures: The number of consecutive failed calls.
     """
 
     def __init__(self, services: Sequence[tuple[str, int]], entry: Entry, token: str, rng: random.Random) -> None:
@@ -74,12 +74,14 @@
         self.failures = 0
 
     async def run(self, stop: asyncio.Event, drain: float = 0.0) -> None:
-        """Keeps the entry until `stop`; then it drains for `drain` s and is removed, as far as a registry answers.
+        """Keep the entry registered until `stop`, then drain it for `drain` seconds and remove it.
+
+        Errors while draining and removing the entry are ignored.
 
         Raises:
-            RegistrationRejectedError: the registry rejects the entry or the token.
+            RegistrationRejectedError: The registry rejected the entry or the token.
         """
-        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT)
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         headers = {"Authorization": f"Bearer {self.token}"}
         async with aiohttp.ClientSession(timeout=timeout, headers=headers) as session:
             while not stop.is_set():
@@ -94,43 +96,46 @@
                 await self._call(session, "DELETE", "")
 
     async def register_or_renew(self, session: aiohttp.ClientSession) -> float:
-        """One call, and how long to wait (s) until the next.
+        """Register the entry or renew its lease, and return the time in seconds until the next call.
 
         Raises:
-            RegistrationRejectedError: the registry rejects the entry or the token.
+            RegistrationRejectedError: The registry rejected the entry or the token.
         """
         try:
             if self.is_registered and await self._call(session, "POST", "/renew") == HTTPStatus.NOT_FOUND:
-                log.warning("the list has no entry %s any more: it is registered anew", self.entry.id)
+                log.warning("registry has no entry %s; registering it again", self.entry.id)
                 self.is_registered = False
             if not self.is_registered:
                 await self._call(session, "PUT", "", self.entry.request_body())
                 self.is_registered = True
-        except (aiohttp.ClientError, OSError) as error:  # a TimeoutError is an OSError
+        except (aiohttp.ClientError, OSError) as error:  # This includes TimeoutError, a subclass of OSError.
             return self._backoff(error)
         self.renewals += 1
         self.failures = 0
         period = self.entry.ttl_s / RENEWALS_PER_LEASE
-        return float(period * self.rng.uniform(1 - RENEWAL_JITTER, 1 + RENEWAL_JITTER))
+        return float(period * self.rng.uniform(1 - RENEWAL_JITTER_RATIO, 1 + RENEWAL_JITTER_RATIO))
 
     def _backoff(self, error: Exception) -> float:
-        """Turns to the next address, which may not know the entry; s to wait before it is called."""
-        if self.failures in LOGGED_FAILURES:
-            log.warning("%s:%d: %s: %s", *self.services[0], type(error).__name__, error)
+        """Switch to the next address, which may lack the entry, and return the seconds to wait before the call."""
+        if self.failures in LOGGED_FAILURE_COUNTS:
+            log.warning("call to registry %s:%d failed: %s: %s", *self.services[0], type(error).__name__, error)
         self.services.append(self.services.pop(0))
         self.is_registered = False
-        backoff = min(MAX_BACKOFF, MIN_BACKOFF * 2 ** min(self.failures, MAX_DOUBLINGS))
+        backoff = min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2 ** min(self.failures, MAX_BACKOFF_DOUBLINGS))
         self.failures += 1
-        return float(backoff * self.rng.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER))
+        return float(backoff * self.rng.uniform(1 - BACKOFF_JITTER_RATIO, 1 + BACKOFF_JITTER_RATIO))
 
     async def _call(self, session: aiohttp.ClientSession, method: str, path: str, body: Any = None) -> int:
         host, port = self.services[0]
         url = f"http://{host}:{port}/api/targets/{self.entry.id}{path}"
-        async with session.request(method, url, json=body) as answer:
-            text = await answer.text()
-            if answer.status == HTTPStatus.NOT_FOUND:
-                return answer.status
-            if answer.status in FINAL_STATUSES:
-                raise RegistrationRejectedError(f"{host}:{port} says {answer.status}: {text.strip()}")
-            answer.raise_for_status()
-            return answer.status
+        async with session.request(method, url, json=body) as response:
+            text = await response.text()
+            if response.status == HTTPStatus.NOT_FOUND:
+                return response.status
+            if response.status in PERMANENT_ERROR_STATUSES:
+                raise RegistrationRejectedError(
+                    f"registry {host}:{port} rejected entry {self.entry.id!r} with HTTP status "
+                    f"{response.status}: {text.strip()}"
+                )
+            response.raise_for_status()
+            return response.status
--- a/ingress/endpoint_registry/relay.py
+++ b/ingress/endpoint_registry/relay.py
@@ -1,9 +1,9 @@
-"""The relay: one watch upstream, many readers here, and the last list through an outage.
+"""The relay: serves many readers through one upstream watch, and serves the last list during an outage.
 
-The rule for an answer of upstream: a higher version of the store that is followed is applied at once.  A lower one of
-the same store is stale: the next address is polled.  Another store is followed when it has the higher version, or when
-the one that was followed has not been seen for FOLLOW_OTHER_STORE_AFTER; never when its list is empty and ours is not.
-Readers see versions of the relay's own, which only rise.
+An upstream response is accepted by these rules.  A higher version of the followed store is applied at once.  A lower
+version of the same store is stale: the next address is polled.  Another store is followed if it has a higher version,
+or if the followed store has not answered for FOLLOW_OTHER_STORE_AFTER_S; never if its list is empty and the list of the
+relay is not.  Readers see the relay's own versions, which only increase.
 """
 
 from __future__ import annotations
@@ -31,29 +31,29 @@
 
 log = logging.getLogger(__name__)
 
-WAIT_MS = 20_000  # that a watch waits for a change
-ANSWER_GRACE = 3.0  # s beyond that wait for an answer to be complete
-CONNECT_TIMEOUT = 1.0  # s
-MIN_BACKOFF = 0.1  # s on the mean, doubled each time that all addresses failed
-MAX_BACKOFF = 2.0  # s on the mean
-MAX_DOUBLINGS = 8
-BACKOFF_JITTER = 0.5  # of the backoff
-LOGGED_FAILURES = (0, 10, 100, 1000)  # in a row: these are logged
-FOLLOW_OTHER_STORE_AFTER = 10.0  # s without the store that was followed
-MAX_ANSWER_BYTES = 64 << 20
+WATCH_WAIT_MS = 20_000
+RESPONSE_GRACE_S = 3.0  # The time beyond the wait in which a response must be complete.
+CONNECT_TIMEOUT_S = 1.0
+MIN_BACKOFF_S = 0.1  # The average backoff; it doubles each time that all addresses have failed.
+MAX_BACKOFF_S = 2.0  # The limit of the average backoff.
+MAX_BACKOFF_DOUBLINGS = 8
+BACKOFF_JITTER_RATIO = 0.5
+LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # A failure is logged if this many consecutive failures precede it.
+FOLLOW_OTHER_STORE_AFTER_S = 10.0  # The time runs from the last response of the followed store.
+MAX_RESPONSE_BYTES = 64 << 20
 
 
 class UpstreamListError(IngressError):
-    """An answer of upstream that changes nothing."""
+    """An upstream response that is not accepted."""
 
 
 class UpstreamList(Struct, frozen=True):
-    """An answer of upstream.
+    """An upstream response.
 
     Attributes:
-        version: of the store.
-        full: whether it is the full list, or changes.
-        entries: those that can be read.
+        version: The list version of the upstream store.
+        full: Whether the entries are the full list rather than changes.
+        entries: The valid entries.
     """
 
     version: int
@@ -62,11 +62,15 @@
 
 
 def read_upstream_list(body: Any) -> UpstreamList:
-    """Reads an answer; UpstreamListError where it is no list."""
+    """Parse an upstream response.
+
+    Raises:
+        UpstreamListError: The response is not a valid endpoint list.
+    """
     try:
         listing = read_endpoint_list(body)
     except ValueError as error:
-        raise UpstreamListError(str(error)) from None
+        raise UpstreamListError(f"invalid endpoint list: {error}") from None
     return UpstreamList(
         listing.version,
         listing.is_complete,
@@ -75,7 +79,7 @@
 
 
 class RelayCache:
-    """The last list on disk, replaced as a whole; without a folder, nothing is stored."""
+    """A copy of the last list on disk, replaced atomically; without a folder, nothing is stored."""
 
     def __init__(self, folder: Path | None) -> None:
         self.path = None if folder is None else folder / "relay.json"
@@ -83,7 +87,7 @@
             folder.mkdir(parents=True, exist_ok=True)
 
     def load(self) -> dict[str, Any] | None:
-        """What was saved last; None where there is nothing that can be used."""
+        """Return the saved state, or None if there is none or its checksum does not match."""
         if self.path is None:
             return None
         try:
@@ -91,13 +95,13 @@
         except FileNotFoundError:
             return None
         if checksum != hashlib.sha256(text.encode()).hexdigest():
-            log.error("%s is not what was written: it is not used", self.path)
+            log.error("%s: checksum mismatch; ignoring the cached list", self.path)
             return None
-        found: dict[str, Any] = json.loads(text)
-        return found
+        state: dict[str, Any] = json.loads(text)
+        return state
 
     def save(self, state: dict[str, Any]) -> None:
-        """Stores a list; it is on disk when this returns."""
+        """Save a state; its content is synced to disk when this returns."""
         if self.path is None:
             return
         text = json.dumps(state)
@@ -110,26 +114,27 @@
 
 
 class Relay(ListApi):
-    """Follows one store upstream and serves its list.
+    """Follows one upstream store and serves its list.
 
     Attributes:
-        addresses: of upstream; `upstream_index` is the one that is polled.
-        followed_store: the name of the store that is followed.
-        followed_version: the version of it that was applied last.
-        followed_store_seen_at: when it answered last.
-        last_answer_at: when an answer was applied last.
-        is_incremental: the next poll may ask for the changes alone.
-        failures: failed polls in a row.
+        addresses: The upstream addresses.
+        upstream_index: The index of the address that is polled.
+        followed_store: The name of the followed store.
+        followed_version: The version of the followed store that was applied last.
+        followed_store_seen_at: The time of the last accepted response of the followed store, initially the start.
+        last_response_at: The time of the last accepted response, or None before the first one.
+        is_incremental: Whether the next poll may request only the changes.
+        failures: The number of consecutive failed polls.
     """
 
     def __init__(self, upstream: Sequence[tuple[str, int]], cache: RelayCache) -> None:
-        known = cache.load() or {"version": 0, "rows": [], "store": "", "upstream": 0}
-        super().__init__(Catalog(known["version"], ((entry, known["version"]) for entry in known["rows"])), "relay")
+        cached = cache.load() or {"version": 0, "rows": [], "store": "", "upstream": 0}
+        super().__init__(Catalog(cached["version"], ((entry, cached["version"]) for entry in cached["rows"])), "relay")
         self.addresses = list(upstream)
         self.cache = cache
-        self.followed_store = str(known["store"])
-        self.followed_version = int(known["upstream"])
-        self.last_answer_at: float | None = None
+        self.followed_store = str(cached["store"])
+        self.followed_version = int(cached["upstream"])
+        self.last_response_at: float | None = None
         self.followed_store_seen_at = time.monotonic()
         self.is_incremental = False
         self.upstream_index = 0
@@ -138,7 +143,7 @@
         self.follow_task = self.loop.create_task(self._follow())
 
     async def _follow(self) -> None:
-        timeout = aiohttp.ClientTimeout(total=WAIT_MS / 1000 + ANSWER_GRACE, sock_connect=CONNECT_TIMEOUT)
+        timeout = aiohttp.ClientTimeout(total=WATCH_WAIT_MS / 1000 + RESPONSE_GRACE_S, sock_connect=CONNECT_TIMEOUT_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 try:
@@ -148,92 +153,103 @@
                     await asyncio.sleep(self._backoff(error))
 
     def _backoff(self, error: Exception) -> float:
-        """Turns to the next address, which is asked for the full list; s to wait before."""
-        if self.failures in LOGGED_FAILURES:
+        """Switch to the next address and to a full list, and return the seconds to wait before the next poll."""
+        if self.failures in LOGGED_FAILURE_COUNTS:
             address = self.addresses[self.upstream_index]
-            log.warning("upstream %s:%d: %s: %s", *address, type(error).__name__, error)
+            log.warning("polling upstream %s:%d failed: %s: %s", *address, type(error).__name__, error)
         self.is_incremental = False
         self.upstream_index = (self.upstream_index + 1) % len(self.addresses)
-        doublings = min(self.failures // len(self.addresses), MAX_DOUBLINGS)
+        doublings = min(self.failures // len(self.addresses), MAX_BACKOFF_DOUBLINGS)
         self.failures += 1
-        return min(MAX_BACKOFF, MIN_BACKOFF * 2.0**doublings) * random.uniform(1 - BACKOFF_JITTER, 1 + BACKOFF_JITTER)
+        return min(MAX_BACKOFF_S, MIN_BACKOFF_S * 2.0**doublings) * random.uniform(
+            1 - BACKOFF_JITTER_RATIO, 1 + BACKOFF_JITTER_RATIO
+        )
 
     async def _poll(self, session: aiohttp.ClientSession) -> None:
         host, port = self.addresses[self.upstream_index]
-        query = f"?after={self.followed_version}&wait_ms={WAIT_MS}" if self.is_incremental else ""
-        async with session.get(f"http://{host}:{port}/api/targets{query}") as answer:
-            if answer.status != HTTPStatus.OK:
-                raise UpstreamListError(f"status {answer.status}")
-            data = await answer.content.read(MAX_ANSWER_BYTES + 1)
-            while not answer.content.at_eof() and len(data) <= MAX_ANSWER_BYTES:
-                data += await answer.content.read(MAX_ANSWER_BYTES + 1 - len(data))
-            if len(data) > MAX_ANSWER_BYTES:
-                raise UpstreamListError("an endless answer")
-            store = answer.headers.get("X-Store", "")
-        await self.apply_answer(store, read_upstream_list(json.loads(data)))
-
-    async def apply_answer(self, store: str, answer: UpstreamList) -> None:
-        """Applies an answer of a store; UpstreamListError where the rule above forbids it."""
+        query = f"?after={self.followed_version}&wait_ms={WATCH_WAIT_MS}" if self.is_incremental else ""
+        async with session.get(f"http://{host}:{port}/api/targets{query}") as response:
+            if response.status != HTTPStatus.OK:
+                raise UpstreamListError(f"expected HTTP status 200, received {response.status}")
+            data = await response.content.read(MAX_RESPONSE_BYTES + 1)
+            while not response.content.at_eof() and len(data) <= MAX_RESPONSE_BYTES:
+                data += await response.content.read(MAX_RESPONSE_BYTES + 1 - len(data))
+            if len(data) > MAX_RESPONSE_BYTES:
+                raise UpstreamListError(f"the response exceeds {MAX_RESPONSE_BYTES} bytes")
+            store = response.headers.get("X-Store", "")
+        await self.apply_response(store, read_upstream_list(json.loads(data)))
+
+    async def apply_response(self, store: str, response: UpstreamList) -> None:
+        """Apply a response of an upstream store.
+
+        Raises:
+            UpstreamListError: The rules in the module docstring do not accept the response.
+        """
         now = time.monotonic()
-        self._require_acceptable(store, answer, now)
-        changes = self._changes(answer)
-        moved = (store, answer.version) != (self.followed_store, self.followed_version)
+        self._require_acceptable(store, response, now)
+        changes = self._changes(response)
+        is_new_version = (store, response.version) != (self.followed_store, self.followed_version)
         self.followed_store = store
-        self.followed_version = answer.version
+        self.followed_version = response.version
         self.is_incremental = True
-        self.last_answer_at = now
+        self.last_response_at = now
         self.followed_store_seen_at = now
         if changes or not self.catalog.version:
-            self.catalog.apply(max(self.catalog.version + 1, answer.version), changes)
+            self.catalog.apply(max(self.catalog.version + 1, response.version), changes)
             self.notify()
-        if changes or moved:
+        if changes or is_new_version:
             async with self.cache_lock:
                 state = {
                     "version": self.catalog.version,
                     "rows": self.catalog.entries(),
                     "store": store,
-                    "upstream": answer.version,
+                    "upstream": response.version,
                 }
                 await asyncio.to_thread(self.cache.save, state)
 
-    def _require_acceptable(self, store: str, answer: UpstreamList, now: float) -> None:
+    def _require_acceptable(self, store: str, response: UpstreamList, now: float) -> None:
         is_followed = store == self.followed_store or not self.followed_store
-        if is_followed and answer.version < self.followed_version:
-            raise UpstreamListError(f"version {answer.version} is older than {self.followed_version}: stale")
+        if is_followed and response.version < self.followed_version:
+            raise UpstreamListError(
+                f"stale list: received version {response.version}, already at {self.followed_version}"
+            )
         if is_followed:
-            if not answer.full and not self.is_incremental:
-                raise UpstreamListError("changes, where the whole list was asked for")
+            if not response.full and not self.is_incremental:
+                raise UpstreamListError("received changes in response to a request for the full list")
             return
-        if not answer.full:
-            raise UpstreamListError("changes of another store")
-        if not answer.entries and self.catalog.entries():
-            raise UpstreamListError("another store, and its list is empty")
-        if answer.version <= self.followed_version and now - self.followed_store_seen_at < FOLLOW_OTHER_STORE_AFTER:
-            raise UpstreamListError(f"another store at the older version {answer.version}")
-        log.warning("another store is followed from now on: %s instead of %s", store, self.followed_store)
-
-    def _changes(self, answer: UpstreamList) -> list[EntryRecord]:
-        """What differs from the list that is served."""
+        if not response.full:
+            raise UpstreamListError(f"received changes of store {store!r}, following {self.followed_store!r}")
+        if not response.entries and self.catalog.entries():
+            raise UpstreamListError(f"ignoring the empty list of another store {store!r}")
+        if response.version <= self.followed_version and now - self.followed_store_seen_at < FOLLOW_OTHER_STORE_AFTER_S:
+            raise UpstreamListError(
+                f"ignoring version {response.version} of another store {store!r}: "
+                f"{self.followed_store!r} is at version {self.followed_version} and answered recently"
+            )
+        log.warning("now following store %s instead of %s", store, self.followed_store)
+
+    def _changes(self, response: UpstreamList) -> list[EntryRecord]:
+        """Return the changes that turn the served list into the upstream list."""
         served = {entry["id"]: entry for entry in self.catalog.entries()}
         changes = [
             entry
-            for entry in answer.entries
+            for entry in response.entries
             if served.get(entry["id"]) != entry and (entry["state"] != "gone" or entry["id"] in served)
         ]
-        if answer.full:
-            present = {entry["id"] for entry in answer.entries}
+        if response.full:
+            present = {entry["id"] for entry in response.entries}
             changes += [{**entry, "state": "gone"} for name, entry in served.items() if name not in present]
         return changes
 
     async def get_targets(self, request: web.Request) -> web.StreamResponse:
-        """The list; rejected while there has never been one."""
+        """Return the list or its changes; reject the call until a first list is available."""
         if not self.catalog.version:
             return self.reject_busy()
         return await super().get_targets(request)
 
     async def get_status(self, _request: web.Request) -> web.StreamResponse:
-        """The relay's figures, for operators."""
-        age = None if self.last_answer_at is None else round(time.monotonic() - self.last_answer_at, 3)
+        """Return the status of the relay, for operators."""
+        age = None if self.last_response_at is None else round(time.monotonic() - self.last_response_at, 3)
         return web.json_response(
             {
                 "version": self.catalog.version,
@@ -249,13 +265,13 @@
         )
 
     def app(self) -> web.Application:
-        """The HTTP application."""
+        """Build the HTTP application."""
         app = web.Application(middlewares=[answer_rejections])
         app.add_routes([web.get("/api/targets", self.get_targets), web.get("/status", self.get_status)])
         return app
 
     async def close(self) -> None:
-        """Ends the watch upstream."""
+        """Stop following the upstream store."""
         self.follow_task.cancel()
         await asyncio.gather(self.follow_task, return_exceptions=True)
         self.stop_notifying()
--- a/ingress/endpoint_registry/service.py
+++ b/ingress/endpoint_registry/service.py
@@ -1,4 +1,4 @@
-"""The registry over HTTP: reading, watching and changing the endpoint list."""
+"""The HTTP API of the registry: reading, watching and changing the endpoint list."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY_BYTES = 1 << 20  # bytes of a write
-LEASE_CHECK_PERIOD = 0.25  # s
-ENTRY = ObjectSchema(
+MAX_BODY_BYTES = 1 << 20
+LEASE_CHECK_PERIOD_S = 0.25
+ENTRY_SCHEMA = ObjectSchema(
     {
         "id": StringSchema(),
         "addr": StringSchema(),
@@ -37,19 +37,19 @@
     },
     frozenset({"id", "addr"}),
 )
-ENTRIES = ObjectSchema({"servers": ArraySchema(ENTRY, 1, "id")}, frozenset({"servers"}))
-DEFAULTS = {"zone": "", "kind": "", "cell": 0, "state": "ready", "weight": 1.0, "started_ms": 0}
+ENTRIES_SCHEMA = ObjectSchema({"servers": ArraySchema(ENTRY_SCHEMA, 1, "id")}, frozenset({"servers"}))
+ENTRY_DEFAULTS = {"zone": "", "kind": "", "cell": 0, "state": "ready", "weight": 1.0, "started_ms": 0}
 
 
 def read_entries(text: str, name: str | None = None) -> list[tuple[EntryRecord, float]]:
-    """The entries of a write, each with the duration of its lease in s, 0 for none.
+    """Parse the entries of a write, each with its lease duration in seconds, 0 for none.
 
     Args:
-        text: the body of the call.
-        name: the id in the path, where the body is one entry.
+        text: The body of the call.
+        name: The id in the path if the body is a single entry, otherwise None.
 
     Raises:
-        CallRejectedError: with every fault of the body.
+        CallRejectedError: The body is invalid; the error lists every fault.
     """
     try:
         body = parse(text)
@@ -60,7 +60,7 @@
     if name is not None:
         body.setdefault("id", name)
     validator = Validator()
-    validator.check(body, ENTRIES if name is None else ENTRY, "")
+    validator.check(body, ENTRIES_SCHEMA if name is None else ENTRY_SCHEMA, "")
     entries = body.get("servers", []) if name is None else [body]
     for number, entry in enumerate(entries if isinstance(entries, list) else []):
         if isinstance(entry, dict):
@@ -80,11 +80,11 @@
 
 
 def _without_lease(entry: EntryRecord) -> EntryRecord:
-    return {**DEFAULTS, **{key: value for key, value in entry.items() if key != "ttl_s"}}
+    return {**ENTRY_DEFAULTS, **{key: value for key, value in entry.items() if key != "ttl_s"}}
 
 
 class Service(ListApi):
-    """The catalog, its store, its leases and the calls that change them."""
+    """Serves the catalog, and handles the calls that change the catalog, its store and its leases."""
 
     def __init__(self, store: Store, token: str, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__(Catalog(store.version, ((entry, changed) for entry, changed, _ in store.rows)), store.name)
@@ -99,19 +99,19 @@
     # Changes
 
     async def write(self, rows: Iterable[tuple[EntryRecord, float]]) -> int:
-        """Writes entries with their leases (s) as one version more, which is served once it is on disk.
+        """Store entries and their lease durations in seconds as the next version, and serve it once it is on disk.
 
-        The caller holds the lock.
+        The caller must hold `write_lock`.
 
         Raises:
-            CallRejectedError: the store can't write.
+            CallRejectedError: The store failed to write the entries.
         """
         rows = list(rows)
         version = self.catalog.version + 1
         try:
             await self.loop.run_in_executor(self.store_thread, self.store.write, version, rows)
         except (sqlite3.Error, OSError) as error:
-            log.error("a write failed: %s", error)
+            log.error("storing list version %d failed: %s", version, error)
             raise CallRejectedError(507, f"not stored: {error}") from error
         self.catalog.apply(version, [entry for entry, _ in rows])
         for entry, lease in rows:
@@ -122,19 +122,19 @@
         self.notify()
         return version
 
-    def _require_version(self, name: str, match: str | None) -> None:
+    def _require_version(self, name: str, if_match: str | None) -> None:
         found = self.catalog.entry(name)
-        if match is not None and (found is None or match.strip('" ') != str(found[0])):
-            raise CallRejectedError(412, f"{name}: version {found[0] if found else 'none'}, not {match}")
+        if if_match is not None and (found is None or if_match.strip('" ') != str(found[0])):
+            raise CallRejectedError(412, f"{name}: version {found[0] if found else 'none'}, not {if_match}")
 
     async def _expire_leases(self) -> None:
         suspended = 0
         while True:
-            await asyncio.sleep(LEASE_CHECK_PERIOD)
+            await asyncio.sleep(LEASE_CHECK_PERIOD_S)
             expired = self.leases.expire(self.clock())
             if len(self.leases.suspended) > suspended:
                 log.warning(
-                    "%d entries would run out together: held until they are renewed or released",
+                    "%d entries are suspended because too many would expire together; renew or release them",
                     len(self.leases.suspended),
                 )
             suspended = len(self.leases.suspended)
@@ -142,10 +142,14 @@
                 try:
                     await self.remove(expired)
                 except CallRejectedError as error:
-                    log.error("leases: %s", error)
+                    log.error("removing expired entries failed: %s", error)
 
     async def remove(self, names: list[str]) -> int:
-        """Removes entries; the new version, 0 where none was there.  CallRejectedError as in `write`."""
+        """Remove entries, and return the new version, or 0 if none of them is in the list.
+
+        Raises:
+            CallRejectedError: The store failed to write the change.
+        """
         async with self.write_lock:
             entries = [found[1] for name in names if (found := self.catalog.entry(name))]
             return await self.write([({**entry, "state": "gone"}, 0.0) for entry in entries]) if entries else 0
@@ -153,7 +157,7 @@
     # Calls
 
     async def put_entry(self, request: web.Request) -> web.StreamResponse:
-        """Registers or replaces one entry."""
+        """Register or replace one entry."""
         name = request.match_info["name"]
         rows = read_entries(await request.text(), name)
         async with self.write_lock:
@@ -161,32 +165,32 @@
             return self._version_response(await self.write(rows))
 
     async def post_entries(self, request: web.Request) -> web.StreamResponse:
-        """Registers or replaces several entries in one version."""
+        """Register or replace several entries in one version."""
         rows = read_entries(await request.text())
         async with self.write_lock:
             return self._version_response(await self.write(rows))
 
     async def drain_entry(self, request: web.Request) -> web.StreamResponse:
-        """Marks an entry as draining."""
+        """Mark an entry as draining."""
         return await self._change_state(request, "draining")
 
     async def delete_entry(self, request: web.Request) -> web.StreamResponse:
-        """Removes an entry."""
+        """Remove an entry."""
         return await self._change_state(request, "gone")
 
     async def _change_state(self, request: web.Request, state: str) -> web.StreamResponse:
         name = request.match_info["name"]
-        match = request.headers.get("If-Match")
+        if_match = request.headers.get("If-Match")
         async with self.write_lock:
             found = self.catalog.entry(name)
             if found is None:
                 raise CallRejectedError(404, f"{name}: not there")
-            self._require_version(name, match)
+            self._require_version(name, if_match)
             entry = {**found[1], "state": state}
             return self._version_response(await self.write([(entry, self.leases.durations.get(name, 0.0))]))
 
     async def renew_lease(self, request: web.Request) -> web.StreamResponse:
-        """Begins an entry's lease anew."""
+        """Renew the lease of an entry."""
         name = request.match_info["name"]
         found = self.catalog.entry(name)
         if found is None or not self.leases.renew(name, self.clock()):
@@ -194,7 +198,7 @@
         return self._version_response(found[0])
 
     async def release_suspended(self, request: web.Request) -> web.StreamResponse:
-        """Removes suspended entries, the oldest first, at most as many as `most` says; for operators."""
+        """Remove suspended entries for an operator, the oldest first; the query key `most` limits their number."""
         limit = read_query_number(request, "most")
         version = await self.remove(self.leases.suspended_oldest_first()[:limit])
         return self._version_response(version or self.catalog.version)
@@ -203,7 +207,7 @@
         return web.json_response({"version": version}, headers={"ETag": f'"{version}"'})
 
     async def get_status(self, _request: web.Request) -> web.StreamResponse:
-        """The service's figures, for operators."""
+        """Return the status of the service, for operators."""
         return web.json_response(
             {
                 "store": self.store.name,
@@ -222,7 +226,7 @@
     async def authenticate(
         self, request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
     ) -> web.StreamResponse:
-        """Rejects a call that changes something and has not the token."""
+        """Reject a call that changes something and does not carry the token."""
         if request.method != "GET" and not self._is_authenticated(request):
             raise CallRejectedError(401, "a token is needed")
         return await handler(request)
@@ -232,7 +236,7 @@
         return bool(self.token) and hmac.compare_digest(token.encode(), self.token.encode())
 
     def app(self) -> web.Application:
-        """The HTTP application."""
+        """Build the HTTP application."""
         app = web.Application(middlewares=[answer_rejections, self.authenticate], client_max_size=MAX_BODY_BYTES)
         app.add_routes(
             [
@@ -249,7 +253,7 @@
         return app
 
     async def close(self) -> None:
-        """Ends the tasks, waits for a write that is under way, and closes the store."""
+        """Stop the tasks, wait for a write in progress, and close the store."""
         self.expiry_task.cancel()
         self.stop_notifying()
         await asyncio.gather(self.expiry_task, return_exceptions=True)
--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -53,7 +53,10 @@
     store.base.execute("INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?)", before)
     given = store.version
     store.close()
-    assert any("not all of one moment" in fault for fault in store_module.store_faults(tmp_path / "list" / "list.db"))
+    assert any(
+        "entries of different list versions are mixed" in fault
+        for fault in store_module.store_faults(tmp_path / "list" / "list.db")
+    )
     again = Store(tmp_path / "list")
     assert again.rows == [] and again.version > given and list((tmp_path / "list").glob("list.db.damaged-*"))
     again.close()
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -27,8 +27,8 @@
 from ingress.endpoint_registry import list_api as list_api_module
 from ingress.endpoint_registry.catalog import Catalog, EntryRecord
 from ingress.endpoint_registry.http_server import Listener
-from ingress.endpoint_registry.leases import MAX_CHECK_GAP, Leases
-from ingress.endpoint_registry.list_api import NOTIFY_DELAY
+from ingress.endpoint_registry.leases import MAX_CHECK_GAP_S, Leases
+from ingress.endpoint_registry.list_api import NOTIFY_DELAY_S
 from ingress.endpoint_registry.service import Service
 from ingress.endpoint_registry.store import Store, StoreError
 from tests.peers import STARTED_PROCESSES
@@ -137,7 +137,7 @@
 
 
 def test_changes_that_come_together_make_one_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(list_api_module, "NOTIFY_DELAY", 2.0)
+    monkeypatch.setattr(list_api_module, "NOTIFY_DELAY_S", 2.0)
 
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, _):
@@ -384,8 +384,8 @@
 def test_half_a_head_is_let_go_in_time_and_others_notice_nothing(
     start: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_server_module, "HEAD_TIMEOUT", 0.2)
-    monkeypatch.setattr(http_server_module, "SWEEP_PERIOD", 0.05)
+    monkeypatch.setattr(http_server_module, "REQUEST_HEAD_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(http_server_module, "SWEEP_PERIOD_S", 0.05)
 
     async def body() -> None:
         async with running_registry(tmp_path) as (_, client, address):
@@ -421,8 +421,8 @@
 def test_a_reader_that_takes_nothing_is_let_go_and_holds_up_nobody(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(http_server_module, "READ_TIMEOUT", 0.3)
-    monkeypatch.setattr(http_server_module, "SWEEP_PERIOD", 0.05)
+    monkeypatch.setattr(http_server_module, "RESPONSE_READ_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(http_server_module, "SWEEP_PERIOD_S", 0.05)
 
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, address):
@@ -473,7 +473,7 @@
     leases = Leases(0.0)
     leases.grant("a", 5.0, 0.0)
     assert leases.expire(0.5) == [] and leases.expire(100.0) == []  # stopped for longer than a lease
-    assert leases.expire(100.0 + MAX_CHECK_GAP) == [] and leases.expires_at["a"] == 105.0
+    assert leases.expire(100.0 + MAX_CHECK_GAP_S) == [] and leases.expires_at["a"] == 105.0
     assert Leases(50.0, [("a", 5.0)]).expires_at["a"] == 55.0  # and so does one that starts
 
 
@@ -528,7 +528,7 @@
 
 def test_two_services_on_one_folder(tmp_path: Path) -> None:
     store = Store(tmp_path)
-    with pytest.raises(StoreError, match="another service holds it"):
+    with pytest.raises(StoreError, match="another process has locked the store"):
         Store(tmp_path)
     store.close()
     Store(tmp_path).close()
@@ -831,4 +831,4 @@
     code = "import sys, ingress.__main__; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
     assert not {"ingress.endpoint_registry", "aiohttp", "sqlite3"} & set(done.stdout.split())
-    assert NOTIFY_DELAY < 0.2
+    assert NOTIFY_DELAY_S < 0.2
--- a/tests/test_registry_backups.py
+++ b/tests/test_registry_backups.py
@@ -19,7 +19,7 @@
 from ingress.endpoint_registry import registration
 from ingress.endpoint_registry.backups import backups, choose, take_backup, verify
 from ingress.endpoint_registry.registration import Entry, Registration, RegistrationRejectedError
-from ingress.endpoint_registry.store import SCHEMA, Store, StoreError
+from ingress.endpoint_registry.store import SCHEMA_VERSION, Store, StoreError
 from tests.peers import wait_until
 from tests.test_net_restart import free_port
 from tests.test_registry import TOKEN, endpoint_row, run_async, running_registry
@@ -50,17 +50,17 @@
     assert [copy.entries for copy in backups(tmp_path / "copies")] == [5, 6]
     given = store.version
     refused = tool("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies")
-    assert refused.returncode == 2 and "another service holds it" in refused.stderr
+    assert refused.returncode == 2 and "another process has locked the store" in refused.stderr
     store.close()
     assert tool("check", tmp_path / "list", tmp_path / "copies").stdout.count(": good") == 3
     # Point in time: the list before the last write, at a version above all that were given.
     done = tool("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies", "--version", second.version - 1)
-    assert done.returncode == 0 and "5 entries are in place" in done.stdout, done.stderr
+    assert done.returncode == 0 and "restored 5 entries" in done.stdout, done.stderr
     again = Store(tmp_path / "list")
     assert {kept["id"] for kept, _, _ in again.rows} == {f"s{n}" for n in range(5)} and again.version > given
     again.close()
     at = tool("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies", "--at", "2020-01-01T00:00:00")
-    assert at.returncode == 2 and "no copy is as old as that" in at.stderr
+    assert at.returncode == 2 and "no backup matches the requested version and time" in at.stderr
 
 
 def test_only_so_many_copies_are_kept_and_the_oldest_go(tmp_path: Path) -> None:
@@ -81,7 +81,7 @@
     for place in rng.sample(range(len(good)), 300):
         copy.write_bytes(good[:place] + bytes([good[place] ^ 1 << rng.randrange(8)]) + good[place + 1 :])
         assert any(str(copy) in fault for fault in verify(copy))
-        with pytest.raises(StoreError, match="its bytes are not those"):
+        with pytest.raises(StoreError, match="the SHA-256 digest differs from the backup description"):
             choose(tmp_path / "copies")
     for cut in (0, 1, 100, len(good) - 1):
         copy.write_bytes(good[:cut])
@@ -132,11 +132,15 @@
 def test_a_store_of_a_later_service_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
     filled(tmp_path / "list").close()
     base = sqlite3.connect(tmp_path / "list" / "list.db")
-    base.execute(f"PRAGMA user_version = {SCHEMA + 1}")
+    base.execute(f"PRAGMA user_version = {SCHEMA_VERSION + 1}")
     base.close()
     before = (tmp_path / "list" / "list.db").read_bytes()
     for _ in range(2):
-        with pytest.raises(StoreError, match=rf"list\.db: it is of schema {SCHEMA + 1}, and .* knows {SCHEMA}: it is"):
+        with pytest.raises(
+            StoreError,
+            match=rf"list\.db: schema version {SCHEMA_VERSION + 1} is newer than the supported version "
+            rf"{SCHEMA_VERSION}; the file is left unchanged",
+        ):
             Store(tmp_path / "list")
     assert (tmp_path / "list" / "list.db").read_bytes() == before
     assert not list((tmp_path / "list").glob("*.damaged-*"))
@@ -149,7 +153,7 @@
     store.close()
     again = Store(tmp_path / "list")
     assert len(again.rows) == 5
-    assert again.base.execute("PRAGMA user_version").fetchall() == [(SCHEMA,)]
+    assert again.base.execute("PRAGMA user_version").fetchall() == [(SCHEMA_VERSION,)]
     again.close()
 
 
@@ -160,7 +164,7 @@
     store.close()
     (tmp_path / "list" / "bound").write_bytes(text.encode())
     again = Store(tmp_path / "list")
-    assert "bound of versions was damaged" in caplog.text and list((tmp_path / "list").glob("bound.damaged-*"))
+    assert "the version bound is damaged" in caplog.text and list((tmp_path / "list").glob("bound.damaged-*"))
     again.write(again.version + 1, [(endpoint_row("new"), 0.0)])
     assert again.version > given
     again.close()
@@ -234,7 +238,7 @@
 
 
 def test_a_registration_survives_outages_and_a_lost_store(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(registration, "MIN_BACKOFF", 0.01)
+    monkeypatch.setattr(registration, "MIN_BACKOFF_S", 0.01)
 
     async def body() -> None:
         stop = asyncio.Event()
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -174,7 +174,7 @@
 
 
 def test_another_store_is_followed_and_readers_see_versions_rise(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(relay_module, "FOLLOW_OTHER_STORE_AFTER", 0.3)
+    monkeypatch.setattr(relay_module, "FOLLOW_OTHER_STORE_AFTER_S", 0.3)
     told: list[Any] = ["A", listing(50, "one", "two")]
 
     async def body() -> None:
