--- a/tests/test_golden_config.py
+++ b/tests/test_golden_config.py
@@ -1,4 +1,4 @@
-"""A configuration of an earlier build, and what this one reads from it."""
+"""A configuration file of an earlier build is read with the recorded values."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ingress.configuration.document import load_config
 from tests.golden_files import GOLDEN, as_json, golden, plain
 
-# The wire's names, and the fields in which this build holds what they say.
+# Pairs of a name in the document and the field that stores its value in this build.
 TOP = (
     "name=name listen=listen discovery=discovery counter=counter control=admin seed=seed known=initial_endpoints "
     "checkpoint=checkpoint limits.memory_mb=memory_limit limits.sockets=max_client_connections "
@@ -39,21 +39,21 @@
 )
 
 
-def by_wire(source: Any, names: str) -> dict[str, Any]:
+def by_document_name(source: Any, names: str) -> dict[str, Any]:
     pairs = (name.split("=") for name in names.split())
-    return {wire: plain(getattr(source, field)) for wire, field in pairs}
+    return {document_name: plain(getattr(source, field)) for document_name, field in pairs}
 
 
 def read() -> bytes:
-    """What a configuration says, under the wire's names."""
+    """Return the values of the configuration under their names in the document."""
     config = load_config(str(GOLDEN / "config.json"))
     settings = config.settings
     return as_json(
         {
-            "config": by_wire(config, TOP),
-            "settings": by_wire(settings, SETTINGS),
-            "categories": [by_wire(one, CLASS) for one in settings.classes],
-            "contracts": [by_wire(one, PLAN) for one in settings.plans],
+            "config": by_document_name(config, TOP),
+            "settings": by_document_name(settings, SETTINGS),
+            "categories": [by_document_name(one, CLASS) for one in settings.classes],
+            "contracts": [by_document_name(one, PLAN) for one in settings.plans],
         }
     )
 
@@ -62,19 +62,19 @@
     yield "config-read.json", read()
 
 
-def test_a_configuration() -> None:
+def test_a_configuration_is_read_as_recorded() -> None:
     assert read() == golden("config-read.json")
 
 
 def test_no_field_of_the_settings_is_left_out() -> None:
     settings = load_config(str(GOLDEN / "config.json")).settings
-    held = {"classes", "plans"}
+    listed_separately = {"classes", "plans"}
     for source, names in ((settings, SETTINGS), (settings.classes[0], CLASS), (settings.plans[0], PLAN)):
         named = {name.split("=")[1] for name in names.split()}
-        assert set(type(source).__struct_fields__) - held == named
+        assert set(type(source).__struct_fields__) - listed_separately == named
 
 
-def test_the_file_says_no_default() -> None:
-    """Each setting that is read differs from what an absent one means, so that a name that is lost shows."""
+def test_the_file_sets_no_key_to_its_default() -> None:
+    """Each setting differs from the default of an absent key, so that a lost name is detected."""
     found = json.loads(read())
     assert all(found["settings"][key] not in (None, False, [], "") for key in found["settings"])
--- a/tests/test_net_changes.py
+++ b/tests/test_net_changes.py
@@ -1,4 +1,4 @@
-"""Configuration changes: whole or not at all, shown, and taken back."""
+"""Configuration changes: applied completely or not at all, shown to operators, and reverted."""
 
 from __future__ import annotations
 
@@ -71,13 +71,13 @@
 
 
 def like(served: Ingress, **changes: Any) -> Config:
-    """The configuration that runs, with changes."""
+    """Return the active configuration with changes."""
     own = {"seed": "1", "control": ADMIN_LISTEN}
     return read_config(json.dumps(dict(served.config.document) | own | changes))
 
 
 def state(served: Ingress) -> dict[str, Any]:
-    """All that can be observed of what a change may touch."""
+    """Return all observable state that a change may affect."""
     g = served.gateway
     return {
         "config": served.config,
@@ -109,11 +109,11 @@
     }
 
 
-async def said(served: Ingress, line: bytes) -> str:
+async def admin_reply(served: Ingress, line: bytes) -> str:
     return (await admin_call(served, line)).strip()
 
 
-async def shown(served: Ingress) -> dict[str, list[str]]:
+async def show_config(served: Ingress) -> dict[str, list[str]]:
     lines = (await admin_call(served, b"show-config")).splitlines()
     assert lines.pop() == "eof"
     found: dict[str, list[str]] = {}
@@ -123,18 +123,18 @@
     return found
 
 
-def test_a_change_is_applied_whole_and_shown() -> None:
+def test_a_change_is_applied_completely_and_shown() -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, address):
             caller = await RespClient.connect(address)
-            before = await shown(served)
+            before = await show_config(served)
             assert [before[key] for key in ("generation", "cause", "refused")] == [["1"], ["start"], ["none"]]
             extra = SETTINGS["categories"][0] | {"name": "extra"}
-            less = {"cores": 1.0, "memory_mb": 64, "sockets": 512}
+            lower_limits = {"cores": 1.0, "memory_mb": 64, "sockets": 512}
             assert not await served.changes.change(
                 like(
                     served,
-                    limits=less,
+                    limits=lower_limits,
                     settings=SETTINGS
                     | {
                         "categories": [*SETTINGS["categories"], extra],
@@ -144,7 +144,7 @@
                 ),
                 "reload",
             )
-            after = await shown(served)
+            after = await show_config(served)
             assert after["generation"] == ["2"] and after["digest"] != before["digest"]
             assert "settings.contracts[basic].refill: 100.0 -> 7.0" in after["differs"]
             assert "settings.limits.max-attempts: 4 -> 2" in after["differs"]
@@ -162,7 +162,7 @@
 
 
 @pytest.mark.parametrize(("key", "text"), [("name", "another"), ("listen", "127.0.0.1:1"), ("control", "127.0.0.1:2")])
-def test_what_cannot_change_refuses_the_whole_change(key: str, text: str) -> None:
+def test_an_immutable_key_rejects_the_whole_change(key: str, text: str) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             before = state(served)
@@ -170,21 +170,21 @@
             reason = await served.changes.change(new, "reload")
             assert reason == f"{key} can't change in a running process"
             assert state(served) == before
-            [refused] = (await shown(served))["refused"]
+            [refused] = (await show_config(served))["refused"]
             assert refused.startswith("reload at ") and refused.endswith(reason)
 
     run_async(body())
 
 
-def test_a_failure_at_each_step_of_preparing_leaves_everything_as_it_was(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failure_at_each_step_of_preparing_leaves_everything_unchanged(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, address):
             caller = await RespClient.connect(address)
-            told = SETTINGS | {
+            with_counter = SETTINGS | {
                 "family-info": {"counter": True, "count-wait-s": 0.1},
                 "contracts": [PLAN | {"refill": 7.0}],
             }
-            new = like(served, counter="127.0.0.1:1", discovery="127.0.0.1:2", settings=told)
+            new = like(served, counter="127.0.0.1:1", discovery="127.0.0.1:2", settings=with_counter)
 
             def fail(*_: object) -> None:
                 raise RuntimeError("injected")
@@ -219,29 +219,29 @@
     run_async(body())
 
 
-def test_revert_goes_back_step_by_step_and_a_later_reload_applies_the_file_again() -> None:
+def test_reverts_go_back_step_by_step_and_a_later_reload_applies_the_file_again() -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
-            assert await said(served, b"revert") == "fail there is no generation before"
+            assert await admin_reply(served, b"revert") == "fail there is no generation before"
             files = [like(served, settings=with_plan(refill=rate)) for rate in (7.0, 8.0)]
             for file in files:
                 assert not await served.changes.change(file, "reload")
-            assert await said(served, b"revert") == "ok"
-            now = await shown(served)
+            assert await admin_reply(served, b"revert") == "ok"
+            now = await show_config(served)
             assert now["generation"] == ["4"] and now["cause"] == ["revert to 2"]
             assert now["differs"] == ["settings.contracts[basic].refill: 8.0 -> 7.0"]
             assert served.gateway.plans["basic"].rate == 7.0
-            assert not await served.changes.change(files[1], "reload")  # the file is as it was
+            assert not await served.changes.change(files[1], "reload")  # The file itself has not changed.
             assert served.gateway.plans["basic"].rate == 8.0
-            assert await said(served, b"revert") == "ok" and await said(served, b"revert") == "ok"
+            assert await admin_reply(served, b"revert") == "ok" and await admin_reply(served, b"revert") == "ok"
             assert served.gateway.plans["basic"].rate == 100.0
-            assert await said(served, b"revert") == "fail there is no generation before"
-            assert (await shown(served))["before"] == ["none"]
+            assert await admin_reply(served, b"revert") == "fail there is no generation before"
+            assert (await show_config(served))["before"] == ["none"]
 
     run_async(body())
 
 
-def test_generations_are_bounded_in_number_and_in_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_versions_are_bounded_in_number_and_in_bytes(monkeypatch: pytest.MonkeyPatch) -> None:
     versions = ConfigVersions(config())
     for n in range(3 * MAX_VERSIONS):
         versions.accept(config(settings=with_plan(refill=float(n + 1))), "reload")
@@ -253,7 +253,7 @@
     assert len(versions.versions) == 3
 
 
-def test_open_requests_end_as_they_began_and_new_ones_of_a_plan_that_is_gone_are_unknown() -> None:
+def test_open_requests_keep_their_plan_and_new_ones_of_a_removed_plan_are_rejected() -> None:
     go_on = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -276,7 +276,7 @@
     run_async(body())
 
 
-def test_lower_limits_bound_new_work_at_once_and_cut_nothing_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lower_limits_bound_new_work_at_once_and_interrupt_no_request(monkeypatch: pytest.MonkeyPatch) -> None:
     go_on = asyncio.Event()
     monkeypatch.setattr("ingress.server.client_timeouts.IDLE_TIMEOUT", 0.05)
     monkeypatch.setattr("ingress.server.client_server.SWEEP_INTERVAL", 0.02)
@@ -296,15 +296,15 @@
                 assert await caller.request(command("quick")) == b"quick"
             callers[0].writer.write(command("slow"))
             await wait_until(lambda: served.requests.attempts_in_flight)
-            held = served.budget.command_bytes
-            less = {"cores": 1.0, "memory_mb": 24, "sockets": 64}
-            assert not await served.changes.change(like(served, limits=less), "reload")
+            command_bytes = served.budget.command_bytes
+            lower_limits = {"cores": 1.0, "memory_mb": 24, "sockets": 64}
+            assert not await served.changes.change(like(served, limits=lower_limits), "reload")
             assert served.clients.max_connections == 16
             await wait_until(lambda: len(served.clients.connections) <= 16)
-            served.budget.command_bytes = 3 << 20  # more than the new limit leaves
+            served.budget.command_bytes = 3 << 20  # This is more than the new limit allows.
             served.applier.parts.memory_monitor.check()
             assert str(await until_answer(callers, command("more"))).startswith("BUSY")
-            served.budget.command_bytes = held
+            served.budget.command_bytes = command_bytes
             await wait_until(lambda: not served.clients.over_limit)
             go_on.set()
             assert await callers[0].read_answer() == b"slow"
@@ -313,59 +313,61 @@
 
 
 async def until_answer(callers: list[RespClient], data: bytes) -> Any:
-    """The answer on one of the connections that are left."""
+    """Return the reply on one of the connections that are still open."""
     for caller in reversed(callers[1:]):
         try:
             return await caller.request(data)
         except (EOFError, ConnectionError):
             continue
-    raise AssertionError("no connection is left")
+    raise AssertionError("no connection is open any more")
 
 
-def alive() -> dict[type, int]:
+def count_live_objects() -> dict[type, int]:
     gc.collect()
     found = gc.get_objects()
     return {kind: sum(isinstance(one, kind) for one in found) for kind in (Config, Settings, CounterClient)}
 
 
-def test_many_changes_leave_no_generation_behind_but_those_that_are_kept() -> None:
+def test_many_changes_leave_only_the_stored_versions_in_memory() -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, address):
-            caller, before = await RespClient.connect(address), alive()
+            caller, before = await RespClient.connect(address), count_live_objects()
             for number in range(60):
-                told = SETTINGS | {
+                changed_settings = SETTINGS | {
                     "family-info": {"counter": number % 2 == 0, "count-wait-s": 0.1},
                     "contracts": [PLAN | {"refill": 100.0 + number}],
                 }
-                assert not await served.changes.change(like(served, counter="127.0.0.1:1", settings=told), "reload")
+                assert not await served.changes.change(
+                    like(served, counter="127.0.0.1:1", settings=changed_settings), "reload"
+                )
                 assert await caller.request(command()) == b"00000000000000aa"
             assert len(served.changes.versions.versions) == MAX_VERSIONS
-            more = {kind: count - before[kind] for kind, count in alive().items()}
+            more = {kind: count - before[kind] for kind, count in count_live_objects().items()}
             assert more[Config] <= MAX_VERSIONS and more[Settings] <= MAX_VERSIONS and more[CounterClient] <= 1
 
     run_async(body())
 
 
 @pytest.mark.parametrize("count", [10_000])
-def test_a_change_with_many_customers_holds_the_loop_up_for_a_bounded_number_of_turns(count: int) -> None:
-    """As a multiple of what a request and its answer take in the same run: seconds tell of the machine."""
+def test_a_change_with_many_customers_blocks_the_loop_for_a_bounded_time(count: int) -> None:
+    """The bound is a multiple of the time of a request and its reply in the same run, independent of the machine."""
     play = GatewayHarness(replace(FIXED, plans=(replace(BASIC_PLAN, rate=1e6, burst=1e6),)))
     for number in range(count):
         [send] = started_attempts(play.send_request(customer=f"c{number}", gateway_count=1))
         play.end_attempt(send, after=0.0)
-    turns, changes = [], []
+    request_times, change_times = [], []
     for number in range(20):
         began = time.process_time()
         for _ in range(50):
             [send] = started_attempts(play.send_request(customer=f"c{number}", gateway_count=1))
             play.end_attempt(send, after=0.0)
-        turns.append((time.process_time() - began) / 50)
+        request_times.append((time.process_time() - began) / 50)
         began = time.process_time()
         plan = replace(BASIC_PLAN, rate=1e6 + number, burst=1e6)
         play.handle_after(0.0, SettingsChanged(replace(FIXED, plans=(plan,))))
-        changes.append(time.process_time() - began)
+        change_times.append(time.process_time() - began)
     assert len(play.gateway.customers) == count
-    assert max(changes) < count / 4 * min(turns)  # a customer costs a small part of a request
+    assert max(change_times) < count / 4 * min(request_times)  # A customer costs a small part of a request.
 
 
 PLANS = st.lists(
@@ -415,7 +417,7 @@
 
 
 @pytest.mark.parametrize("at", [0, 1])
-def test_two_processes_change_and_revert_together_wherever_it_is_asked(at: int, tmp_path: Path) -> None:
+def test_two_processes_change_and_revert_together_whichever_is_asked(at: int, tmp_path: Path) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             asked = both[at]
@@ -430,7 +432,9 @@
 
 
 @pytest.mark.parametrize("at", [0, 1])
-def test_if_either_refuses_both_stay(at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_if_either_process_rejects_a_change_both_keep_the_old_version(
+    at: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             for refusing in both:
@@ -444,7 +448,7 @@
     run_async(body())
 
 
-def test_one_that_says_nothing_in_time_leaves_both_on_the_old_generation(
+def test_a_missing_reply_leaves_both_processes_on_the_old_version(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
@@ -457,7 +461,7 @@
     run_async(body())
 
 
-def test_when_the_other_dies_while_it_prepares_the_survivor_goes_on_alone(
+def test_when_the_other_process_dies_while_preparing_the_survivor_continues_alone(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
@@ -470,7 +474,7 @@
     run_async(body())
 
 
-def test_when_the_eldest_dies_before_it_says_commit_the_survivor_stays_and_can_lead(
+def test_when_the_oldest_process_dies_before_commit_the_survivor_keeps_its_version_and_can_lead(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
@@ -489,7 +493,7 @@
     run_async(body())
 
 
-def test_a_process_that_comes_runs_what_the_one_before_runs_whatever_its_file_says(tmp_path: Path) -> None:
+def test_a_new_process_adopts_the_versions_of_its_predecessor_whatever_its_file_contains(tmp_path: Path) -> None:
     async def body() -> None:
         path = tmp_path / "there"
         async with fake_endpoint() as peer, ingress_process(plain(peer), path) as (first, _):
@@ -505,7 +509,7 @@
                     assert link.transport is not None
                     link.transport.abort()
                 await wait_until(lambda: third.process_group.predecessor() is None)
-                # It can go back as far as the one that is gone could.
+                # It can revert as far as the process that has ended could.
                 for rate in (7.0, 100.0):
                     assert await third.changes.revert() == "ok" and rates(third) == [rate]
                 assert await third.changes.revert() == "fail there is no generation before"
@@ -513,7 +517,7 @@
     run_async(body())
 
 
-def test_one_that_came_while_the_others_prepared_is_not_left_behind(tmp_path: Path) -> None:
+def test_a_process_that_joined_during_preparation_applies_the_commit(tmp_path: Path) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             new = like(both[0], settings=with_plan(refill=7.0))
@@ -524,7 +528,7 @@
     run_async(body())
 
 
-def test_changes_and_reverts_at_once_at_both_end_on_one_generation(tmp_path: Path) -> None:
+def test_concurrent_changes_and_reverts_end_on_one_version(tmp_path: Path) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, pair(peer, tmp_path / "there") as both:
             for turn in range(10):
@@ -543,13 +547,13 @@
 
 
 def write(path: Path, text: str) -> None:
-    """Replaced by rename, as the platform does."""
+    """Replace a file by rename, as the platform does."""
     other = path.with_suffix(".next")
     other.write_text(text, encoding="utf-8")
     other.rename(path)
 
 
-def test_changes_good_and_bad_under_a_steady_flow_lose_nothing_and_leave_nothing(tmp_path: Path) -> None:
+def test_valid_and_invalid_reloads_under_load_lose_no_request_and_leak_no_descriptor(tmp_path: Path) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_program(peer, tmp_path) as (process, address):
             path = tmp_path / "config.json"
@@ -562,7 +566,7 @@
                 while not over.is_set():
                     asked += 1
                     answers.append(await caller.request(command(f"{number}-{asked}", customer=number)))
-                    await asyncio.sleep(0.02)  # inside every quota
+                    await asyncio.sleep(0.02)  # The rate is within every quota.
                 caller.writer.close()
 
             flows = [asyncio.create_task(flow(number)) for number in range(4)]
@@ -585,12 +589,12 @@
                         ),
                     )
                 process.send_signal(signal.SIGHUP)
-                await asyncio.sleep(0.02 if number % 2 else 0.0)  # a storm, too
+                await asyncio.sleep(0.02 if number % 2 else 0.0)  # Some signals arrive without a pause.
             await asyncio.sleep(0.3)
             over.set()
             await asyncio.gather(*flows)
             assert len(answers) == asked > 40
-            assert all(isinstance(answer, bytes) for answer in answers)  # served, each of them
+            assert all(isinstance(answer, bytes) for answer in answers)  # Each request is served.
             await asyncio.sleep(0.1)
             assert len(os.listdir(fds)) <= before
             assert process.returncode is None
@@ -598,7 +602,7 @@
     run_async(body())
 
 
-def test_a_signal_in_a_drain_changes_nothing_for_those_that_are_served(tmp_path: Path) -> None:
+def test_sighup_during_a_drain_does_not_affect_clients(tmp_path: Path) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_program(peer, tmp_path) as (process, address):
             caller = await RespClient.connect(address)
@@ -611,8 +615,8 @@
     run_async(body())
 
 
-def test_a_signal_in_start_up_is_not_lost(tmp_path: Path) -> None:
-    """As soon as the program catches it, long before it serves."""
+def test_sighup_during_startup_does_not_end_the_process(tmp_path: Path) -> None:
+    """SIGHUP is sent as soon as the program handles it, long before it serves."""
 
     async def body() -> None:
         async with fake_endpoint() as peer:
@@ -650,8 +654,10 @@
         ):
             caller = await RespClient.connect(address)
             at = f"127.0.0.1:{silent.address[1]}"
-            told = SETTINGS | {"family-info": {"counter": True, "count-wait-s": 0.1}}
-            assert not await served.changes.change(like(served, discovery=at, counter=at, settings=told), "reload")
+            with_counter = SETTINGS | {"family-info": {"counter": True, "count-wait-s": 0.1}}
+            assert not await served.changes.change(
+                like(served, discovery=at, counter=at, settings=with_counter), "reload"
+            )
             await wait_until(lambda: silent.connections)
             for _ in range(5):
                 assert await caller.request(command()) == b"00000000000000aa"
@@ -660,21 +666,19 @@
     run_async(body())
 
 
-def test_a_revert_is_answered_in_time_while_another_change_does_not_end() -> None:
+def test_a_revert_is_answered_in_time_while_another_change_is_stuck() -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             assert not await served.changes.change(like(served, settings=with_plan(refill=7.0)), "reload")
             async with served.changes.agreement.lock:
-                assert await said(served, b"revert") == f"fail {UNDER_WAY}"
-            assert await said(served, b"revert") == "ok"
+                assert await admin_reply(served, b"revert") == f"fail {UNDER_WAY}"
+            assert await admin_reply(served, b"revert") == "ok"
             assert LOCK_TIMEOUT_S + PREPARE_TIMEOUT_S < 1.0 and PROPOSAL_TIMEOUT_S < 1.0
 
     run_async(body())
 
 
-def test_a_fault_in_one_reload_does_not_end_those_that_come_after(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_fault_in_one_reload_does_not_stop_later_reloads(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
         async with fake_endpoint() as peer, running_ingress(plain(peer)) as (served, _):
             path, reload = tmp_path / "config.json", asyncio.Event()
--- a/tests/test_net_config.py
+++ b/tests/test_net_config.py
@@ -1,4 +1,4 @@
-"""EDGE_CONFIG: typed values, and one message that names the key when it can't be used."""
+"""EDGE_CONFIG: typed values, and messages on one line that name the invalid keys."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def test_a_configuration() -> None:
+def test_a_valid_configuration_is_read() -> None:
     config = read_config(config_text(endpoint_entry(("127.0.0.1", 6379)), listen="127.0.0.1:6380"))
     assert config.listen == ("127.0.0.1", 6380) and config.seed == 0x8C1F30D27A5BE964
     assert config.max_client_connections + config.max_endpoint_connections < 1024
@@ -45,7 +45,7 @@
         ({"settings": SETTINGS | {"limits": {"keepalive-s": 0}}}, "keepalive-s"),
     ],
 )
-def test_what_is_wrong_is_named(changes: dict[str, Any], key: str) -> None:
+def test_an_invalid_key_is_named(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigError) as caught:
         read_config(config_text(**changes))
     assert key in str(caught.value)
@@ -55,7 +55,7 @@
 @pytest.mark.parametrize(
     ("text", "key"), [(None, "EDGE_CONFIG"), ("{", "EDGE_CONFIG"), (config_text(seed="xyz"), "seed")]
 )
-def test_the_program_ends_with_one_line(text: str | None, key: str, tmp_path: Path) -> None:
+def test_the_program_exits_with_a_one_line_error(text: str | None, key: str, tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text, encoding="utf-8")
@@ -81,7 +81,7 @@
 CLASS, PLAN = SETTINGS["categories"][0], SETTINGS["contracts"][0]
 
 
-def test_every_fault_is_found_in_one_go_with_its_path() -> None:
+def test_every_fault_is_reported_in_one_pass_with_its_path() -> None:
     found = faults(
         config_text(
             name="",
@@ -137,12 +137,12 @@
         ({"prices": {"probe": -0.1}}, "settings.prices.probe"),
     ],
 )
-def test_types_and_ranges(settings: dict[str, Any], path: str) -> None:
+def test_invalid_types_and_ranges_are_reported(settings: dict[str, Any], path: str) -> None:
     [fault] = faults(config_text(settings=SETTINGS | settings))
     assert fault.startswith(f"{path}: ") and len(fault) < 200
 
 
-def test_keys_that_stand_twice_are_found_at_any_depth() -> None:
+def test_repeated_keys_are_found_at_any_depth() -> None:
     text = config_text()
     text = text.replace('"name": "n0"', '"name": "n0", "name": "n1"')
     text = text.replace('"refill": 100.0', '"refill": 100.0, "refill": 5.0')
@@ -152,7 +152,7 @@
     ]
 
 
-def test_unknown_keys_are_accepted_and_named() -> None:
+def test_unknown_keys_are_accepted_and_listed() -> None:
     config = read_config(
         config_text(
             colour="red",
@@ -163,82 +163,82 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "null", "{", "nul", "[" * 100_000, '{"a":1}x', "\ufeff{}"])
-def test_what_is_no_document_is_one_fault(text: str) -> None:
+def test_an_invalid_document_is_one_fault(text: str) -> None:
     [fault] = faults(text)
     assert fault.startswith("EDGE_CONFIG: ")
 
 
-def test_the_counter_is_needed_only_where_there_is_one() -> None:
-    told = SETTINGS | {"family-info": {"counter": True}}
-    assert faults(config_text(settings=told)) == [
+def test_the_counter_address_is_required_only_if_the_settings_enable_a_counter() -> None:
+    with_counter = SETTINGS | {"family-info": {"counter": True}}
+    assert faults(config_text(settings=with_counter)) == [
         "counter: missing, and settings.family-info.counter says that there is one"
     ]
-    assert read_config(config_text(settings=told, counter="127.0.0.1:6400")).counter == ("127.0.0.1", 6400)
+    assert read_config(config_text(settings=with_counter, counter="127.0.0.1:6400")).counter == ("127.0.0.1", 6400)
     assert read_config(config_text(counter="127.0.0.1:6400")).counter is None
 
 
-def test_two_parts_of_one_address_contradict() -> None:
+def test_the_admin_address_must_differ_from_the_client_address() -> None:
     assert faults(config_text(listen="127.0.0.1:7000", control="127.0.0.1:7000")) == [
         "control: is the address where clients connect"
     ]
 
 
-def refused(path: Path) -> str:
+def rejection(path: Path) -> str:
     with pytest.raises(ConfigError) as caught:
         load_config(str(path))
     [fault] = caught.value.faults
     return fault
 
 
-def test_files_that_are_none(tmp_path: Path) -> None:
+def test_unreadable_files_are_rejected(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
-    assert "No such file" in refused(path)
+    assert "No such file" in rejection(path)
     path.mkdir()
-    assert "not a regular file" in refused(path)
+    assert "not a regular file" in rejection(path)
     path.rmdir()
     os.mkfifo(path)
-    assert "not a regular file" in refused(path)  # and no wait for a writer
+    assert "not a regular file" in rejection(path)  # Opening a FIFO must not wait for a writer.
     path.unlink()
     path.write_bytes(config_text().encode()[:-40])
-    assert "not JSON" in refused(path)  # half written
+    assert "not JSON" in rejection(path)  # The file is truncated.
     path.write_bytes(b"")
-    assert "not JSON" in refused(path)
+    assert "not JSON" in rejection(path)
     path.write_bytes(b'{"name": "\xff"}')
-    assert "not UTF-8" in refused(path)
+    assert "not UTF-8" in rejection(path)
     with path.open("wb") as file:
         file.truncate(100 << 20)
-    assert f"are more than {MAX_BYTES}" in refused(path)
+    assert f"are more than {MAX_BYTES}" in rejection(path)
 
 
 def test_a_file_that_is_replaced_while_it_is_read_is_read_again(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    path, other = tmp_path / "config.json", tmp_path / "next"
+    path, replacement = tmp_path / "config.json", tmp_path / "next"
     path.write_text(config_text(name="old"), encoding="utf-8")
-    looks = 0
+    fstat_calls = 0
     fstat = os.fstat
 
-    def look(handle: int) -> os.stat_result:
-        nonlocal looks
-        looks += 1
-        if looks == 1:
-            other.write_text(config_text(name="new"), encoding="utf-8")
-            other.rename(path)
+    def replace_before_first_fstat(handle: int) -> os.stat_result:
+        nonlocal fstat_calls
+        fstat_calls += 1
+        if fstat_calls == 1:
+            replacement.write_text(config_text(name="new"), encoding="utf-8")
+            replacement.rename(path)
         return fstat(handle)
 
-    monkeypatch.setattr(os, "fstat", look)
+    monkeypatch.setattr(os, "fstat", replace_before_first_fstat)
     assert load_config(str(path)).name == "new"
 
-    def always(handle: int) -> os.stat_result:
-        other.write_text(config_text(), encoding="utf-8")
-        other.rename(path)
+    def replace_before_each_fstat(handle: int) -> os.stat_result:
+        replacement.write_text(config_text(), encoding="utf-8")
+        replacement.rename(path)
         return fstat(handle)
 
-    monkeypatch.setattr(os, "fstat", always)
-    assert "changed each time" in refused(path)
+    monkeypatch.setattr(os, "fstat", replace_before_each_fstat)
+    assert "changed each time" in rejection(path)
 
 
-def checked(path: Path) -> tuple[int, list[str]]:
+def run_check(path: Path) -> tuple[int, list[str]]:
     done = subprocess.run(
         [sys.executable, "-m", "ingress", "check", str(path)],
         cwd=ROOT,
@@ -251,18 +251,18 @@
     return done.returncode, done.stdout.splitlines()
 
 
-def test_check_says_what_a_start_would_say_and_changes_nothing(tmp_path: Path) -> None:
+def test_check_reports_what_a_start_would_report_and_changes_nothing(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(config_text(colour="red"), encoding="utf-8")
-    assert checked(path) == (0, ["colour: unknown, ignored"])
+    assert run_check(path) == (0, ["colour: unknown, ignored"])
     path.write_text(config_text(seed="xyz", name=""), encoding="utf-8")
-    status, lines = checked(path)
+    status, lines = run_check(path)
     assert status == 2 and len(lines) == 2 and lines == faults(path.read_text(encoding="utf-8"))
     assert [entry.name for entry in tmp_path.iterdir()] == ["config.json"]
-    assert checked(tmp_path / "none")[0] == 2
+    assert run_check(tmp_path / "none")[0] == 2
 
 
-def test_a_wrong_call_is_told(tmp_path: Path) -> None:
+def test_an_unknown_command_prints_the_usage(tmp_path: Path) -> None:
     done = subprocess.run(
         [sys.executable, "-m", "ingress", "chek"], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
--- a/tests/test_registry.py
+++ b/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The list service: versions, watches, writes, leases, the store."""
+"""The endpoint registry: versions, watches, writes, leases and the store."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class Client:
-    """One who calls the service."""
+    """An HTTP client of the registry."""
 
     def __init__(self, web: aiohttp.ClientSession, base: str) -> None:
         self.web, self.base = web, base
@@ -95,7 +95,7 @@
 # Reading and watching
 
 
-def test_a_list_and_its_changes_are_what_an_ingress_reads(tmp_path: Path) -> None:
+def test_an_ingress_can_read_the_list_and_its_changes(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, _):
             first = service.catalog.version
@@ -117,7 +117,7 @@
     run_async(body())
 
 
-def test_one_change_wakes_all_and_is_encoded_once(tmp_path: Path) -> None:
+def test_one_change_answers_all_watches_and_is_encoded_once(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, _):
             version, counts = await client.put("s0"), []
@@ -136,7 +136,7 @@
     run_async(body())
 
 
-def test_changes_that_come_together_make_one_answer(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changes_within_the_notify_delay_make_one_response(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_api_module, "NOTIFY_DELAY_S", 2.0)
 
     async def body() -> None:
@@ -159,7 +159,7 @@
 
             async def write() -> None:
                 nonlocal done
-                for n in range(40):  # faster than the watcher asks
+                for n in range(40):  # The writes are faster than the polls of the watcher.
                     await client.put(f"s{n % 7}", cell=n)
                 done = True
 
@@ -190,7 +190,7 @@
         ("after=", 400),
     ],
 )
-def test_odd_watches(query: str, status: int, tmp_path: Path) -> None:
+def test_query_values_are_validated(query: str, status: int, tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (_, client, _):
             await client.put("one")
@@ -204,7 +204,7 @@
     run_async(body())
 
 
-def test_a_wait_above_the_limit_is_the_limit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_wait_above_the_limit_is_capped(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(list_api_module, "MAX_WAIT_MS", 50)
 
     async def body() -> None:
@@ -216,7 +216,7 @@
     run_async(body())
 
 
-def test_too_many_watchers_are_told_to_come_again_at_times_of_their_own(
+def test_excess_watchers_are_rejected_with_random_retry_after_values(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(list_api_module, "MAX_WATCHERS", 3)
@@ -233,28 +233,28 @@
                     assert no.status == 503
                     waits.add(int(no.headers["Retry-After"]))
             assert len(waits) > 2 and waits <= {1, 2, 3, 4, 5}
-            assert (await client.get())[0] == 200  # reading goes on
+            assert (await client.get())[0] == 200  # Plain reads still work.
             await client.put("one")
             assert [status for status, _ in await asyncio.gather(*tasks)] == [200] * 3
 
     run_async(body())
 
 
-def test_too_many_connections_are_turned_away(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_excess_connections_are_rejected(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(http_server_module, "MAX_CONNECTIONS", 2)
 
     async def body() -> None:
         async with running_registry(tmp_path) as (_, _, address):
-            held = [await asyncio.open_connection(*address) for _ in range(2)]
+            open_connections = [await asyncio.open_connection(*address) for _ in range(2)]
             reader, writer = await asyncio.open_connection(*address)
-            assert (await reader.read()).startswith(b"HTTP/1.1 503") and len(held) == 2
-            for _, other in [*held, (reader, writer)]:
+            assert (await reader.read()).startswith(b"HTTP/1.1 503") and len(open_connections) == 2
+            for _, other in [*open_connections, (reader, writer)]:
                 other.close()
 
     run_async(body())
 
 
-def test_changes_reach_back_as_far_as_the_tombstones_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_changes_reach_back_as_far_as_the_tombstones(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(catalog_module, "MAX_TOMBSTONES", 3)
     catalog = Catalog(10)
     for n in range(6):
@@ -291,7 +291,7 @@
         ('{"addr": "127.0.0.1:1", "addr": "127.0.0.1:2"}', "addr"),
     ],
 )
-def test_a_bad_entry_is_400_names_the_field_and_stores_nothing(body: Any, field: str, tmp_path: Path) -> None:
+def test_an_invalid_entry_gets_400_with_the_field_and_stores_nothing(body: Any, field: str, tmp_path: Path) -> None:
     async def script() -> None:
         async with running_registry(tmp_path) as (service, client, _):
             before = service.catalog.version
@@ -302,7 +302,7 @@
     run_async(script())
 
 
-def test_several_at_once_are_one_version_or_none(tmp_path: Path) -> None:
+def test_several_entries_are_stored_in_one_version_or_not_at_all(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, _):
             before = service.catalog.version
@@ -318,7 +318,7 @@
     run_async(body())
 
 
-def test_drain_remove_and_conditions(tmp_path: Path) -> None:
+def test_drain_remove_and_if_match(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, _):
             for verb, path in (
@@ -347,7 +347,7 @@
     run_async(body())
 
 
-def test_a_write_needs_the_token_and_reading_none(tmp_path: Path) -> None:
+def test_writes_need_the_token_and_reads_do_not(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, _):
             for given in ("", "Bearer", "Bearer wrong", "Bearer é"):
@@ -360,7 +360,9 @@
     run_async(body())
 
 
-def test_a_full_disk_refuses_the_write_and_the_service_goes_on(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_rejects_the_write_and_the_service_continues(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, _):
             version = await client.put("one")
@@ -377,11 +379,11 @@
     run_async(body())
 
 
-# Bad clients
+# Misbehaving clients
 
 
 @pytest.mark.parametrize("start", [b"GET /api/tar", b"GET / HTTP/1.1\r\nX: ", b""])
-def test_half_a_head_is_let_go_in_time_and_others_notice_nothing(
+def test_an_incomplete_head_times_out_without_affecting_other_clients(
     start: bytes, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_server_module, "REQUEST_HEAD_TIMEOUT_S", 0.2)
@@ -396,13 +398,13 @@
             if start:
                 assert (await answer).startswith(b"HTTP/1.1 408")
             else:
-                answer.cancel()  # an idle one is kept for as long as any other
+                answer.cancel()  # An idle connection is not closed early.
             writer.close()
 
     run_async(body())
 
 
-def test_an_endless_head_and_a_body_over_the_limit(tmp_path: Path) -> None:
+def test_oversized_heads_and_bodies_are_rejected(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, address):
             reader, writer = await asyncio.open_connection(*address)
@@ -418,7 +420,7 @@
     run_async(body())
 
 
-def test_a_reader_that_takes_nothing_is_let_go_and_holds_up_nobody(
+def test_a_client_that_reads_nothing_is_disconnected_and_delays_no_other(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(http_server_module, "RESPONSE_READ_TIMEOUT_S", 0.3)
@@ -434,14 +436,14 @@
             sock.sendall(b"GET /api/targets HTTP/1.1\r\nHost: x\r\n\r\n" * 40)
             before = service.catalog.encode_count
             assert (await client.get())[0] == 200
-            await asyncio.to_thread(closed, sock)
+            await asyncio.to_thread(wait_until_closed, sock)
             assert service.catalog.encode_count <= before + 1
 
     run_async(body())
 
 
-def closed(sock: socket.socket) -> None:
-    """Waits, without reading, until the other side has given up."""
+def wait_until_closed(sock: socket.socket) -> None:
+    """Wait, without reading, until the other side has closed the connection."""
     sock.settimeout(20)
     while True:
         try:
@@ -454,7 +456,7 @@
 # Leases
 
 
-def test_a_lease_runs_out_and_a_renewal_keeps_it() -> None:
+def test_a_lease_expires_unless_it_is_renewed() -> None:
     leases = Leases(0.0)
     for n in range(10):
         leases.grant(f"s{n}", 5.0, 0.0)
@@ -469,15 +471,15 @@
     assert not leases.renew("s0", now) and not leases.renew("never", now)
 
 
-def test_a_service_that_stood_still_gives_each_lease_its_whole_life_again() -> None:
+def test_leases_restart_after_the_service_has_stalled() -> None:
     leases = Leases(0.0)
     leases.grant("a", 5.0, 0.0)
-    assert leases.expire(0.5) == [] and leases.expire(100.0) == []  # stopped for longer than a lease
+    assert leases.expire(0.5) == [] and leases.expire(100.0) == []  # The gap is longer than a lease.
     assert leases.expire(100.0 + MAX_CHECK_GAP_S) == [] and leases.expires_at["a"] == 105.0
-    assert Leases(50.0, [("a", 5.0)]).expires_at["a"] == 55.0  # and so does one that starts
+    assert Leases(50.0, [("a", 5.0)]).expires_at["a"] == 55.0  # A starting service does the same.
 
 
-def test_when_too_many_would_run_out_they_are_held_until_renewed_or_released() -> None:
+def test_too_many_expiring_entries_are_suspended_until_renewed_or_released() -> None:
     leases = Leases(0.0)
     for n in range(10):
         leases.grant(f"s{n}", 5.0, 0.0)
@@ -490,7 +492,7 @@
     assert leases.suspended_oldest_first() == [f"s{n}" for n in range(10) if n != 3]
 
 
-def test_held_entries_are_shown_and_go_when_an_operator_says_so(tmp_path: Path) -> None:
+def test_suspended_entries_are_reported_and_released_by_an_operator(tmp_path: Path) -> None:
     clock = [0.0]
 
     async def body() -> None:
@@ -514,7 +516,7 @@
 # The store
 
 
-def test_what_is_written_is_there_again_with_its_version(tmp_path: Path) -> None:
+def test_written_entries_are_read_again_with_their_versions(tmp_path: Path) -> None:
     store = Store(tmp_path)
     version = store.version
     store.write(version + 1, [(endpoint_row("a"), 5.0), (endpoint_row("b"), 0.0)])
@@ -526,7 +528,7 @@
     again.close()
 
 
-def test_two_services_on_one_folder(tmp_path: Path) -> None:
+def test_only_one_store_can_lock_a_folder(tmp_path: Path) -> None:
     store = Store(tmp_path)
     with pytest.raises(StoreError, match="another process has locked the store"):
         Store(tmp_path)
@@ -534,15 +536,15 @@
     Store(tmp_path).close()
 
 
-def test_a_lost_folder_begins_above_all_it_gave_and_a_damaged_store_even_with_the_clock_set_back(
-    tmp_path: Path,
-) -> None:
+def test_versions_increase_after_a_lost_folder_and_after_damage_with_the_clock_set_back(tmp_path: Path) -> None:
     store = Store(tmp_path / "one", now=lambda: 1_000_000)
     for n in range(50):
         store.write(store.version + 1, [(endpoint_row(f"s{n}"), 0.0)])
     given = store.version
     store.close()
-    assert Store(tmp_path / "two", now=lambda: 1_000_000 + 1_000).version > given  # a second later
+    assert (
+        Store(tmp_path / "two", now=lambda: 1_000_000 + 1_000).version > given
+    )  # The new store is opened one second later.
     (tmp_path / "one" / "list.db").write_bytes(b"not a store at all" * 100)
     for ending in ("-wal", "-shm"):
         (tmp_path / "one" / f"list.db{ending}").unlink(missing_ok=True)
@@ -552,7 +554,7 @@
 
 
 @pytest.mark.parametrize("damage", ["short", "flipped", "version", "empty"])
-def test_a_damaged_store_is_set_aside_and_never_served(
+def test_a_damaged_store_is_quarantined_and_never_served(
     damage: str, tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     store = Store(tmp_path)
@@ -580,31 +582,31 @@
     again.close()
 
 
-def test_a_copy_is_restored_above_all_versions_given_and_a_bad_one_changes_nothing(tmp_path: Path) -> None:
-    folder, copy = tmp_path / "list", tmp_path / "copy.db"
+def test_a_backup_is_restored_above_all_served_versions_and_a_damaged_one_changes_nothing(tmp_path: Path) -> None:
+    folder, backup_path = tmp_path / "list", tmp_path / "copy.db"
     store = Store(folder)
     store.write(store.version + 1, [(endpoint_row("a"), 0.0), (endpoint_row("b"), 7.0)])
-    other = sqlite3.connect(copy)
-    store.base.backup(other)
-    other.close()
+    backup_database = sqlite3.connect(backup_path)
+    store.base.backup(backup_database)
+    backup_database.close()
     store.write(store.version + 1, [(endpoint_row("a", "gone"), 0.0), (endpoint_row("c"), 0.0)])
-    given = store.version
+    served_version = store.version
     store.close()
-    again = Store(folder, restore=copy, now=lambda: 0)
-    assert again.version > given
-    assert sorted((found["id"], life) for found, _, life in again.rows) == [("a", 0.0), ("b", 7.0)]
+    again = Store(folder, restore=backup_path, now=lambda: 0)
+    assert again.version > served_version
+    assert sorted((found["id"], lease) for found, _, lease in again.rows) == [("a", 0.0), ("b", 7.0)]
     again.close()
-    bad = tmp_path / "bad.db"
-    bad.write_bytes(copy.read_bytes()[:5000])
-    for wrong in (bad, tmp_path / "none"):
+    damaged = tmp_path / "bad.db"
+    damaged.write_bytes(backup_path.read_bytes()[:5000])
+    for unusable in (damaged, tmp_path / "none"):
         with pytest.raises(StoreError):
-            Store(folder, restore=wrong)
+            Store(folder, restore=unusable)
     kept = Store(folder)
     assert [found["id"] for found, _, _ in kept.rows] == [found["id"] for found, _, _ in again.rows]
     kept.close()
 
 
-def test_a_folder_that_cannot_be_written_is_refused(tmp_path: Path) -> None:
+def test_a_folder_that_cannot_be_written_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "file").write_text("x", encoding="utf-8")
     with pytest.raises(StoreError):
         Store(tmp_path / "file")
@@ -637,39 +639,39 @@
 """
 
 
-def test_kill_9_in_the_midst_of_writes_200_times_loses_nothing_answered_and_repeats_no_version(tmp_path: Path) -> None:
-    rng, answered, rows, begun = random.Random(5), 0, dict[str, int](), 0
-    given = set[int]()
+def test_200_sigkills_during_writes_lose_no_confirmed_write_and_repeat_no_version(tmp_path: Path) -> None:
+    rng, confirmed, rows, first_opened_version = random.Random(5), 0, dict[str, int](), 0
+    seen_versions = set[int]()
     for _ in range(200):
         child = subprocess.Popen(
             [sys.executable, "-c", WRITER, str(tmp_path)], cwd=ROOT, stdout=subprocess.PIPE, text=True
         )
         assert child.stdout is not None
         opened = int(child.stdout.readline().split()[1])
-        begun = begun or opened
-        assert opened >= answered  # every write that was answered is there
+        first_opened_version = first_opened_version or opened
+        assert opened >= confirmed  # Every confirmed write is in the store.
         for _ in range(rng.randrange(12)):
             child.stdout.readline()
         os.kill(child.pid, signal.SIGKILL)
-        told = [int(line) for line in child.stdout.read().splitlines() if line.strip().isdigit()]
+        printed_versions = [int(line) for line in child.stdout.read().splitlines() if line.strip().isdigit()]
         child.wait()
-        answered = max([answered, opened, *told])
-        assert not given & set(told)
-        given |= set(told)
+        confirmed = max([confirmed, opened, *printed_versions])
+        assert not seen_versions & set(printed_versions)
+        seen_versions |= set(printed_versions)
     store = Store(tmp_path)
-    assert store.version >= answered
+    assert store.version >= confirmed
     for found, version, _ in store.rows:
         rows[found["id"]] = found["cell"]
         assert found["cell"] == version and found["state"] == "ready"
-    lasts = {f"s{v % 7}": v for v in range(store.version - 6, store.version + 1)}
-    for name, last in lasts.items():  # each name was written last at one of the last seven versions
-        if last > begun:
+    last_versions = {f"s{v % 7}": v for v in range(store.version - 6, store.version + 1)}
+    for name, last in last_versions.items():  # The last write of each name is one of the last seven versions.
+        if last > first_opened_version:
             assert rows.get(name) == (None if last % 5 == 0 else last)
     store.close()
 
 
 async def start_service(folder: Path) -> tuple[asyncio.subprocess.Process, str]:
-    """The program on the store and the token of a folder, and where it listens."""
+    """Start the service with the store and token of a folder, and return the process and its base URL."""
     child = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -686,11 +688,11 @@
     STARTED_PROCESSES.append(child)
     assert child.stderr is not None
     while b" on " not in (line := await child.stderr.readline()):
-        assert line, "it has ended"
+        assert line, "the service has ended"
     return child, "http://" + line.decode().rsplit(" ", 1)[1].strip()
 
 
-def test_the_program_serves_stops_and_serves_again_after_kill_9(tmp_path: Path) -> None:
+def test_the_program_serves_stops_and_serves_again_after_sigkill(tmp_path: Path) -> None:
     (tmp_path / "token").write_text(TOKEN, encoding="utf-8")
 
     async def body() -> None:
@@ -708,7 +710,7 @@
     run_async(body())
 
 
-def test_a_service_that_was_stopped_for_longer_than_a_lease_ends_none(tmp_path: Path) -> None:
+def test_a_service_paused_for_longer_than_a_lease_expires_none(tmp_path: Path) -> None:
     (tmp_path / "token").write_text(TOKEN, encoding="utf-8")
 
     async def body() -> None:
@@ -721,7 +723,7 @@
             child.send_signal(signal.SIGCONT)
             await asyncio.sleep(0.5)
             assert [r["id"] for r in (await client.get())[1]["servers"]] == ["alone"]
-            while (await client.get())[1]["servers"]:  # and then it runs out as any other
+            while (await client.get())[1]["servers"]:  # The lease expires later like any other.
                 await asyncio.sleep(0.1)
         child.terminate()
         assert await child.wait() == 0
@@ -729,7 +731,7 @@
     run_async(body())
 
 
-# A model
+# A model of the service
 
 STEPS = st.lists(
     st.one_of(
@@ -746,7 +748,7 @@
 
 
 class Model:
-    """The service without its sockets: store, catalog and leases, and the list at each version."""
+    """The service without sockets: store, catalog and leases, with the list at each version."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.now, self.past = folder, 0.0, dict[int, dict[str, EntryRecord]]()
@@ -776,7 +778,7 @@
             self.now += 0.5
             due = {n for n, end in self.leases.expires_at.items() if end <= self.now}
             out = self.leases.expire(self.now)
-            assert set(out) <= due  # none goes before its time
+            assert set(out) <= due  # No entry expires early.
             for name in out:
                 self.write(name, "gone")
 
@@ -827,7 +829,7 @@
     model.store.close()
 
 
-def test_the_ingress_loads_none_of_it() -> None:
+def test_the_ingress_does_not_import_the_registry() -> None:
     code = "import sys, ingress.__main__; print(*sys.modules)"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True, cwd=ROOT)
     assert not {"ingress.endpoint_registry", "aiohttp", "sqlite3"} & set(done.stdout.split())
--- a/tests/test_registry_backups.py
+++ b/tests/test_registry_backups.py
@@ -1,4 +1,4 @@
-"""Copies, checks and restores of the list's store under faults; registration through outages."""
+"""Backups, checks and restores of the store under faults; registration through outages."""
 
 from __future__ import annotations
 
@@ -27,44 +27,48 @@
 ROOT = Path(__file__).resolve().parent.parent
 
 
-def filled(folder: Path, count: int = 5) -> Store:
+def store_with_entries(folder: Path, count: int = 5) -> Store:
     store = Store(folder)
     for n in range(count):
         store.write(store.version + 1, [(endpoint_row(f"s{n}"), 0.0)])
     return store
 
 
-def tool(*words: object, code: str = "") -> subprocess.CompletedProcess[str]:
+def run_command(*words: object, code: str = "") -> subprocess.CompletedProcess[str]:
     start = ["-c", code] if code else ["-m", "ingress.endpoint_registry"]
     return subprocess.run(
         [sys.executable, *start, *map(str, words)], cwd=ROOT, capture_output=True, text=True, check=False, timeout=60
     )
 
 
-def test_a_copy_is_taken_while_the_store_is_in_use_checked_and_restored(tmp_path: Path) -> None:
-    store = filled(tmp_path / "list")
-    taken = tool("backup", "--data", tmp_path / "list", "--to", tmp_path / "copies")
+def test_a_backup_of_a_store_in_use_is_verified_and_restored(tmp_path: Path) -> None:
+    store = store_with_entries(tmp_path / "list")
+    taken = run_command("backup", "--data", tmp_path / "list", "--to", tmp_path / "copies")
     assert taken.returncode == 0 and "5 entries" in taken.stdout, taken.stderr
     store.write(store.version + 1, [(endpoint_row("late"), 0.0)])
     second = take_backup(tmp_path / "list", tmp_path / "copies")
     assert [copy.entries for copy in backups(tmp_path / "copies")] == [5, 6]
     given = store.version
-    refused = tool("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies")
+    refused = run_command("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies")
     assert refused.returncode == 2 and "another process has locked the store" in refused.stderr
     store.close()
-    assert tool("check", tmp_path / "list", tmp_path / "copies").stdout.count(": good") == 3
-    # Point in time: the list before the last write, at a version above all that were given.
-    done = tool("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies", "--version", second.version - 1)
+    assert run_command("check", tmp_path / "list", tmp_path / "copies").stdout.count(": good") == 3
+    # Point-in-time restore: the list before the last write, at a version above all that were served.
+    done = run_command(
+        "restore", "--data", tmp_path / "list", "--from", tmp_path / "copies", "--version", second.version - 1
+    )
     assert done.returncode == 0 and "restored 5 entries" in done.stdout, done.stderr
     again = Store(tmp_path / "list")
     assert {kept["id"] for kept, _, _ in again.rows} == {f"s{n}" for n in range(5)} and again.version > given
     again.close()
-    at = tool("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies", "--at", "2020-01-01T00:00:00")
+    at = run_command(
+        "restore", "--data", tmp_path / "list", "--from", tmp_path / "copies", "--at", "2020-01-01T00:00:00"
+    )
     assert at.returncode == 2 and "no backup matches the requested version and time" in at.stderr
 
 
-def test_only_so_many_copies_are_kept_and_the_oldest_go(tmp_path: Path) -> None:
-    store = filled(tmp_path / "list", 1)
+def test_only_the_newest_backups_are_kept(tmp_path: Path) -> None:
+    store = store_with_entries(tmp_path / "list", 1)
     for n in range(4):
         store.write(store.version + 1, [(endpoint_row(f"t{n}"), 0.0)])
         take_backup(tmp_path / "list", tmp_path / "copies", keep=2)
@@ -73,8 +77,8 @@
     store.close()
 
 
-def test_a_flipped_byte_anywhere_in_a_copy_is_found_and_never_restored(tmp_path: Path) -> None:
-    filled(tmp_path / "list").close()
+def test_a_flipped_bit_anywhere_in_a_backup_is_found_and_never_restored(tmp_path: Path) -> None:
+    store_with_entries(tmp_path / "list").close()
     copy = tmp_path / "copies" / take_backup(tmp_path / "list", tmp_path / "copies").file
     good = copy.read_bytes()
     rng = random.Random(1)
@@ -90,15 +94,15 @@
     assert choose(tmp_path / "copies") == copy
 
 
-def test_a_flipped_byte_anywhere_in_the_store_is_set_aside_or_harmless(tmp_path: Path) -> None:
-    store = filled(tmp_path / "list")
+def test_a_flipped_bit_anywhere_in_the_store_is_detected_or_harmless(tmp_path: Path) -> None:
+    store = store_with_entries(tmp_path / "list")
     kept, given = sorted(map(str, store.rows)), store.version
     store.base.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.close()
     Store(tmp_path / "list").close()
     good, path = (tmp_path / "list" / "list.db").read_bytes(), tmp_path / "list" / "list.db"
     written = sorted(str(one) for one in _read(tmp_path / "list"))
-    rng, outcomes = random.Random(2), {"same": 0, "aside": 0, "refused": 0}
+    rng, outcomes = random.Random(2), {"same": 0, "quarantined": 0, "rejected": 0}
     for place in rng.sample(range(len(good)), 250):
         folder = tmp_path / "list"
         for left in folder.iterdir():
@@ -108,17 +112,17 @@
         try:
             again = Store(folder)
         except StoreError as error:
-            assert str(folder) in str(error)  # says which
-            outcomes["refused"] += 1
+            assert str(folder) in str(error)  # The error names the folder.
+            outcomes["rejected"] += 1
             continue
         if list(folder.glob("list.db.damaged-*")):
             assert again.rows == [] and again.version > given
-            outcomes["aside"] += 1
+            outcomes["quarantined"] += 1
         else:
             assert sorted(map(str, again.rows)) == written
             outcomes["same"] += 1
         again.close()
-    assert outcomes["aside"] >= 5 and outcomes["same"] > 20, outcomes
+    assert outcomes["quarantined"] >= 5 and outcomes["same"] > 20, outcomes
     assert len(kept) == 0 or written
 
 
@@ -129,8 +133,8 @@
     return rows
 
 
-def test_a_store_of_a_later_service_is_refused_and_left_as_it_is(tmp_path: Path) -> None:
-    filled(tmp_path / "list").close()
+def test_a_store_with_a_newer_schema_is_rejected_and_unchanged(tmp_path: Path) -> None:
+    store_with_entries(tmp_path / "list").close()
     base = sqlite3.connect(tmp_path / "list" / "list.db")
     base.execute(f"PRAGMA user_version = {SCHEMA_VERSION + 1}")
     base.close()
@@ -144,11 +148,11 @@
             Store(tmp_path / "list")
     assert (tmp_path / "list" / "list.db").read_bytes() == before
     assert not list((tmp_path / "list").glob("*.damaged-*"))
-    assert tool("check", tmp_path / "list").returncode == 1
+    assert run_command("check", tmp_path / "list").returncode == 1
 
 
-def test_a_store_from_before_schemas_were_counted_is_taken_on(tmp_path: Path) -> None:
-    store = filled(tmp_path / "list")
+def test_a_store_without_a_schema_version_is_upgraded(tmp_path: Path) -> None:
+    store = store_with_entries(tmp_path / "list")
     store.base.execute("PRAGMA user_version = 0")
     store.close()
     again = Store(tmp_path / "list")
@@ -158,8 +162,10 @@
 
 
 @pytest.mark.parametrize("text", ["12x", "", "999 0000", "\u00e9"])
-def test_a_damaged_bound_is_told_and_set_aside(tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture) -> None:
-    store = filled(tmp_path / "list")
+def test_a_damaged_version_bound_is_logged_and_quarantined(
+    tmp_path: Path, text: str, caplog: pytest.LogCaptureFixture
+) -> None:
+    store = store_with_entries(tmp_path / "list")
     given = store.version
     store.close()
     (tmp_path / "list" / "bound").write_bytes(text.encode())
@@ -170,7 +176,7 @@
     again.close()
 
 
-DIES = """
+CRASHING_BACKUP = """
 import os, signal, sys
 from pathlib import Path
 from ingress.endpoint_registry import backups
@@ -190,8 +196,8 @@
 """
 
 
-def test_killed_at_every_step_of_a_backup_leaves_whole_copies_only(tmp_path: Path) -> None:
-    store = filled(tmp_path / "list")
+def test_sigkill_at_every_step_of_a_backup_leaves_only_complete_backups(tmp_path: Path) -> None:
+    store = store_with_entries(tmp_path / "list")
     folder = tmp_path / "copies"
     take_backup(tmp_path / "list", folder)
     store.write(store.version + 1, [(endpoint_row("more"), 0.0)])
@@ -199,38 +205,38 @@
     while True:
         shutil.rmtree(tmp_path / "trial", ignore_errors=True)
         shutil.copytree(folder, tmp_path / "trial")
-        done = tool(tmp_path / "list", tmp_path / "trial", points, code=DIES)
+        done = run_command(tmp_path / "list", tmp_path / "trial", points, code=CRASHING_BACKUP)
         found = list(backups(tmp_path / "trial"))
         assert found and all(not list(verify(tmp_path / "trial" / copy.file)) for copy in found), points
         if done.returncode == 0:
             break
         assert done.returncode == -signal.SIGKILL, done.stderr
-        take_backup(tmp_path / "list", tmp_path / "trial")  # what the dead one left is in nobody's way
+        take_backup(tmp_path / "list", tmp_path / "trial")  # The remains of the killed backup do not block it.
         assert [copy.entries for copy in backups(tmp_path / "trial")][-1] == 6
         points += 1
     assert points >= 10
     store.close()
 
 
-def test_a_full_disk_ends_a_backup_with_the_files_name_and_leaves_nothing(tmp_path: Path) -> None:
-    filled(tmp_path / "list", 200).close()
+def test_a_full_disk_fails_a_backup_with_the_file_name_and_leaves_nothing(tmp_path: Path) -> None:
+    store_with_entries(tmp_path / "list", 200).close()
     code = (
         "import resource, signal, sys; from ingress.endpoint_registry.__main__ import main; "
         "signal.signal(signal.SIGXFSZ, signal.SIG_IGN); resource.setrlimit(resource.RLIMIT_FSIZE, (8192, 8192)); "
         "sys.exit(main())"
     )
-    done = tool("backup", "--data", tmp_path / "list", "--to", tmp_path / "copies", code=code)
+    done = run_command("backup", "--data", tmp_path / "list", "--to", tmp_path / "copies", code=code)
     assert done.returncode == 2 and "list.db" in done.stderr, done.stderr
     assert list((tmp_path / "copies").iterdir()) == []
 
 
-def test_a_description_that_makes_no_sense_is_told_with_its_name(tmp_path: Path) -> None:
-    filled(tmp_path / "list").close()
+def test_an_invalid_description_is_reported_with_its_name(tmp_path: Path) -> None:
+    store_with_entries(tmp_path / "list").close()
     copy = take_backup(tmp_path / "list", tmp_path / "copies")
     described = tmp_path / "copies" / copy.file.replace(".db", ".json")
     for text in ("{", "[]", "{}", json.dumps({**json.loads(described.read_text()), "file": "other.db"})):
         described.write_text(text, encoding="utf-8")
-        done = tool("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies")
+        done = run_command("restore", "--data", tmp_path / "list", "--from", tmp_path / "copies")
         assert done.returncode == 2 and str(described) in done.stderr
 
 
@@ -247,27 +253,27 @@
             task = asyncio.create_task(one.run(stop))
             await wait_until(lambda: one.renewals >= 3)
             assert [entry["id"] for entry in first.catalog.entries()] == ["s-1"]
-        await wait_until(lambda: one.failures >= 2)  # the service is gone; nothing ends
+        await wait_until(lambda: one.failures >= 2)  # The service is down; the registration continues.
         async with running_registry(tmp_path / "another") as (second, _, address):
             one.services[:] = [("127.0.0.1", 1), address]
             await wait_until(lambda: [entry["id"] for entry in second.catalog.entries()] == ["s-1"])
             stop.set()
             await task
-            assert not second.catalog.entries()  # it took itself off the list
+            assert not second.catalog.entries()  # The registration removed its entry.
 
     run_async(body())
 
 
-def test_a_wrong_token_or_entry_ends_it_with_the_reason(tmp_path: Path) -> None:
+def test_a_wrong_token_or_entry_ends_the_registration_with_the_reason(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path / "one") as (_, _, address):
-            for entry, token, told in (
+            for entry, token, reason in (
                 (Entry("s", "127.0.0.1:1", 5.0), "wrong", "401|403"),
                 (Entry("s", "nowhere", 5.0), TOKEN, "400.*addr"),
             ):
                 one = Registration([address], entry, token, random.Random(1))
                 async with aiohttp.ClientSession(headers={"Authorization": f"Bearer {token}"}) as session:
-                    with pytest.raises(RegistrationRejectedError, match=told):
+                    with pytest.raises(RegistrationRejectedError, match=reason):
                         await one.register_or_renew(session)
 
     run_async(body())
@@ -281,7 +287,7 @@
     assert len(waits) > 45
 
 
-def test_the_register_command_keeps_an_entry_and_takes_it_off_at_the_end(tmp_path: Path) -> None:
+def test_the_register_command_keeps_an_entry_and_removes_it_at_the_end(tmp_path: Path) -> None:
     port, token = free_port(), tmp_path / "token"
     token.write_text(TOKEN, encoding="utf-8")
     service = subprocess.Popen(
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay, and a real ingress behind the real service."""
+"""The relay, and an ingress behind the real registry and relay."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
 
 @asynccontextmanager
 async def upstream(answer: Any) -> AsyncIterator[tuple[str, int]]:
-    """One that answers each call as it is told: a store's name and a body."""
+    """Run a fake upstream that responds to each call with the store name and body that `answer` returns."""
 
     async def call(request: web.Request) -> web.StreamResponse:
         store, body = answer()
@@ -84,7 +84,7 @@
     return sorted(r["id"] for r in relay.catalog.entries())
 
 
-def test_changes_come_through_one_watch_upstream_however_many_readers(tmp_path: Path) -> None:
+def test_many_readers_get_changes_through_one_upstream_watch(tmp_path: Path) -> None:
     async def body() -> None:
         async with running_registry(tmp_path) as (service, client, address), relaying(address) as (relay, near):
             await client.put("one")
@@ -104,7 +104,7 @@
     run_async(body())
 
 
-def test_through_an_outage_it_serves_what_it_holds_and_comes_back(tmp_path: Path) -> None:
+def test_the_relay_serves_its_list_through_an_outage_and_recovers(tmp_path: Path) -> None:
     async def body() -> None:
         spare = free_port()
         async with (
@@ -112,7 +112,7 @@
             relaying(("127.0.0.1", spare), address) as (relay, near),
         ):
             await client.put("one")
-            await until(lambda: names(relay) == ["one"])  # the first address is dead: the second is asked
+            await until(lambda: names(relay) == ["one"])  # The first address is unreachable: the second is polled.
             assert (await near.get("/status"))[1]["connected"]
         folder = tmp_path / "relay"
         async with running_registry(tmp_path) as (_, client, address):
@@ -132,7 +132,7 @@
     run_async(body())
 
 
-def test_started_in_an_outage_without_a_list_it_says_come_again() -> None:
+def test_a_relay_without_a_list_responds_503_with_retry_after() -> None:
     async def body() -> None:
         async with (
             relaying(("127.0.0.1", free_port())) as (_, near),
@@ -143,14 +143,14 @@
     run_async(body())
 
 
-def test_what_is_stale_or_makes_no_sense_changes_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    told: list[Any] = ["A", listing(50, "one")]
+def test_stale_and_invalid_responses_change_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    response: list[Any] = ["A", listing(50, "one")]
 
     async def body() -> None:
-        async with upstream(lambda: tuple(told)) as address, relaying(address) as (relay, _):
+        async with upstream(lambda: tuple(response)) as address, relaying(address) as (relay, _):
             await until(lambda: names(relay) == ["one"])
             seen = relay.catalog.version
-            for nonsense in (
+            for rejected in (
                 ("A", listing(40, "other")),
                 ("A", b"{"),
                 ("A", {"version": "x", "servers": []}),
@@ -160,31 +160,31 @@
                 ("A", b"[]"),
             ):
                 failures = relay.failures
-                told[:] = nonsense
+                response[:] = rejected
                 await until(lambda before=failures: relay.failures > before or relay.failures > 3)
                 await asyncio.sleep(0.1)
                 assert names(relay) == ["one"] and relay.catalog.version == seen
-            told[:] = (
+            response[:] = (
                 "A",
                 {"version": 61, "full": True, "servers": [endpoint_row("one"), {"id": "bad"}, endpoint_row("two")]},
             )
-            await until(lambda: names(relay) == ["one", "two"])  # what makes sense of it
+            await until(lambda: names(relay) == ["one", "two"])  # The valid entries are applied.
 
     run_async(body())
 
 
 def test_another_store_is_followed_and_readers_see_versions_rise(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(relay_module, "FOLLOW_OTHER_STORE_AFTER_S", 0.3)
-    told: list[Any] = ["A", listing(50, "one", "two")]
+    response: list[Any] = ["A", listing(50, "one", "two")]
 
     async def body() -> None:
-        async with upstream(lambda: tuple(told)) as address, relaying(address) as (relay, near):
+        async with upstream(lambda: tuple(response)) as address, relaying(address) as (relay, near):
             await until(lambda: names(relay) == ["one", "two"])
             first = relay.catalog.version
-            told[:] = "B", listing(70, "two", "three")  # higher: at once
+            response[:] = "B", listing(70, "two", "three")  # A higher version is followed at once.
             await until(lambda: names(relay) == ["three", "two"])
             second = relay.catalog.version
-            told[:] = "C", listing(5, "four")  # lower: once B has not been heard of for a while
+            response[:] = "C", listing(5, "four")  # A lower version is followed once B has not answered for a while.
             await until(lambda: names(relay) == ["four"])
             assert first < second < relay.catalog.version
             _, answer = await near.get(f"/api/targets?after={second}")
@@ -194,16 +194,16 @@
     run_async(body())
 
 
-def test_a_damaged_last_list_is_not_used(tmp_path: Path) -> None:
-    kept = RelayCache(tmp_path)
-    kept.save({"version": 7, "rows": [endpoint_row("one")], "store": "A", "upstream": 7})
-    assert kept.load() == {"version": 7, "rows": [endpoint_row("one")], "store": "A", "upstream": 7}
+def test_a_damaged_cache_is_ignored(tmp_path: Path) -> None:
+    cache = RelayCache(tmp_path)
+    cache.save({"version": 7, "rows": [endpoint_row("one")], "store": "A", "upstream": 7})
+    assert cache.load() == {"version": 7, "rows": [endpoint_row("one")], "store": "A", "upstream": 7}
     path = tmp_path / "relay.json"
     path.write_text(path.read_text(encoding="utf-8").replace("one", "two"), encoding="utf-8")
-    assert kept.load() is None
+    assert cache.load() is None
 
 
-# A real ingress, the real service and the real relay
+# A real ingress, registry and relay
 
 
 async def start(*words: str) -> asyncio.subprocess.Process:
@@ -213,11 +213,11 @@
     STARTED_PROCESSES.append(child)
     assert child.stderr is not None
     while b" on " not in (line := await child.stderr.readline()):
-        assert line, "it has ended"
+        assert line, "the process has ended"
     return child
 
 
-def test_servers_join_drain_and_go_under_requests_while_the_service_is_killed(tmp_path: Path) -> None:
+def test_endpoints_join_drain_and_leave_under_load_while_the_registry_is_killed(tmp_path: Path) -> None:
     (tmp_path / "token").write_text(TOKEN, encoding="utf-8")
     list_port, relay_port = free_port(), free_port()
     service = (
@@ -228,14 +228,14 @@
         "--token-file",
         str(tmp_path / "token"),
     )
-    told_gone: dict[str, float] = {}
+    removed_at: dict[str, float] = {}
     late: list[str] = []
 
     def script(name: str) -> Any:
         async def play(_: int, reader: Reader, writer: Writer) -> None:
             while True:
                 words = await read_command(reader)
-                if name in told_gone and time.monotonic() - told_gone[name] > 2.0:
+                if name in removed_at and time.monotonic() - removed_at[name] > 2.0:
                     late.append(name)
                 writer.write(endpoint_answer(words[2]))
 
@@ -267,29 +267,29 @@
                 flows = [asyncio.create_task(flow(number)) for number in range(4)]
                 version = (await read_metrics(served))["list.version"]
                 for turn, name in enumerate("bcabca"):
-                    if turn % 2:  # killed and started, in the midst of it
+                    if turn % 2:  # The registry is killed and restarted under load.
                         child.send_signal(signal.SIGKILL)
                         await child.wait()
                         await asyncio.sleep(0.1)
                         child = await start(*service)
-                    told_gone.pop(name, None)
+                    removed_at.pop(name, None)
                     await client.put(name, addr=f"127.0.0.1:{peers[name].address[1]}", started_ms=turn)
                     await until(lambda n=name: n in served.pool.addresses())
                     gone = "abcabc"[turn]
                     await client.call("POST", f"/api/targets/{gone}/drain")
                     status, _ = await client.call("DELETE", f"/api/targets/{gone}")
                     assert status == 200
-                    told_gone[gone] = time.monotonic()
+                    removed_at[gone] = time.monotonic()
                     await until(lambda n=gone: n not in served.pool.addresses())
                     now = (await read_metrics(served))["list.version"]
                     assert now > version
                     version = now
-                await asyncio.sleep(2.2)  # long enough for a request to come too late
+                await asyncio.sleep(2.2)  # This is long enough to observe a late request.
                 over.set()
                 await asyncio.gather(*flows)
                 assert (await read_metrics(served))["list.age_ms"] >= 0
             served_well = answers.count(b"00000000000000aa")
-            # The rest is refused, harmlessly: a server that is new gets one request at a time.
+            # The other requests are rejected with BUSY: a new endpoint gets one request at a time.
             assert {str(a) for a in answers if a != b"00000000000000aa"} <= {"BUSY 10"}
             assert len(answers) > 100 and served_well > 0.9 * len(answers) and not late
         for one in (child, passing):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""A change of settings in the module: what is spent stays spent, what was taken goes on as it began."""
+"""Settings changes in a gateway: spent units stay spent, and open requests keep the settings they started with."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
     play.handle_after(0.0, SettingsChanged(replace(play.gateway.settings, plans=plans, **more)))
 
 
-def spend(play: GatewayHarness, most: int = 1000) -> int:
-    """Asks until it is refused; how many were sent on."""
+def spend(play: GatewayHarness, limit: int = 1000) -> int:
+    """Send requests until one is rejected, and return how many were forwarded."""
     count = 0
-    while count < most:
+    while count < limit:
         sent = started_attempts(play.send_request(gateway_count=1))
         if not sent:
             break
@@ -43,41 +43,41 @@
     return GatewayHarness(replace(FIXED, plans=plans))
 
 
-def test_a_change_to_and_fro_hands_out_no_burst() -> None:
+def test_alternating_plan_changes_grant_no_additional_burst() -> None:
     small, large = Plan("basic", rate=0.001, burst=10.0), Plan("basic", rate=0.001, burst=20.0)
     play = play_of(small)
     assert spend(play) == 10
     change(play, large)
-    assert spend(play) == 10  # 20 in all, as the more generous one allows
+    assert spend(play) == 10  # 20 in total, the larger burst of the two plans.
     for plan in (small, large) * 5:
         change(play, plan)
         assert spend(play) == 0
 
 
-def test_a_lower_burst_holds_at_once_and_refills_to_no_more() -> None:
+def test_a_lower_burst_applies_at_once_and_bounds_the_refill() -> None:
     play = play_of(Plan("basic", rate=1.0, burst=20.0))
     assert spend(play, 5) == 5
     change(play, Plan("basic", rate=1.0, burst=8.0))
-    assert spend(play) == 3  # 8, less the 5 that are spent
+    assert spend(play) == 3  # 8 units less the 5 that are already spent.
     play.now += 100.0
     assert spend(play) == 8
 
 
-def test_a_much_lower_burst_locks_nobody_out_and_still_forgets_nothing() -> None:
+def test_a_much_lower_burst_locks_no_customer_out_and_forgets_no_spent_units() -> None:
     large, small = Plan("basic", rate=1.0, burst=1000.0), Plan("basic", rate=1.0, burst=5.0)
     play = play_of(large)
     assert spend(play) == 1000
     change(play, small)
     assert spend(play) == 0
     play.now += 3.0
-    assert spend(play) == 3  # at the new rate, at once
+    assert spend(play) == 3  # The new rate applies at once.
     change(play, large)
     assert spend(play) == 0
     play.now += 3.0
     assert spend(play) == 3
 
 
-def test_a_rate_counts_for_the_time_it_was_in_force() -> None:
+def test_each_rate_counts_for_the_time_it_was_in_force() -> None:
     play = play_of(Plan("basic", rate=1.0, burst=50.0))
     assert spend(play) == 50
     play.now += 10.0
@@ -86,7 +86,7 @@
     assert spend(play) == 40
 
 
-def test_a_ceiling_is_not_raised_by_changes_and_starts_empty_where_there_was_none() -> None:
+def test_a_ceiling_is_not_raised_by_changes_and_starts_empty_when_added() -> None:
     plan = Plan("basic", rate=1000.0, burst=1000.0, ceiling_rate=1.0, ceiling_burst=10.0)
     play = play_of(plan)
     play.now += 100.0
@@ -97,23 +97,23 @@
         change(play, plan)
         assert spend(play) == 0
     change(play, replace(plan, ceiling_rate=0.0, ceiling_burst=0.0))
-    assert spend(play, 50) == 50  # it has none now
+    assert spend(play, 50) == 50  # The plan has no ceiling now.
     change(play, plan)
     assert spend(play) == 0
     play.now += 4.0
     assert spend(play) == 4
 
 
-def test_a_customer_not_seen_yet_gets_no_more_than_its_ceiling_holds_by_then() -> None:
+def test_a_new_customer_gets_no_more_than_its_ceiling_has_accrued() -> None:
     plan = Plan("basic", rate=1000.0, burst=1000.0, ceiling_rate=1.0, ceiling_burst=100.0)
     play = play_of(plan)
     play.now += 10.0
-    change(play, replace(plan, ceiling_rate=20.0))  # the ten seconds before count at one a second
+    change(play, replace(plan, ceiling_rate=20.0))  # The earlier 10 s count at the old rate of 1/s.
     play.now += 1.0
     assert spend(play) == 30
 
 
-def test_a_plan_that_goes_and_comes_back_remembers_what_was_spent() -> None:
+def test_a_plan_that_is_removed_and_restored_keeps_its_spent_units() -> None:
     plan, other = Plan("basic", rate=0.1, burst=10.0), Plan("other", rate=1.0, burst=1.0)
     play = play_of(plan, other)
     assert spend(play) == 10
@@ -123,7 +123,7 @@
     assert spend(play) == 0
 
 
-def test_the_state_of_a_plan_that_is_gone_is_let_go_once_it_has_refilled() -> None:
+def test_the_state_of_a_removed_plan_is_dropped_once_it_has_refilled() -> None:
     play = play_of(Plan("basic", rate=1.0, burst=10.0), Plan("other", rate=1.0, burst=1.0))
     for n in range(20):
         [send] = started_attempts(play.send_request(customer=f"c{n}"))
@@ -133,7 +133,7 @@
     assert not play.gateway.customers
 
 
-def test_open_requests_keep_the_class_plan_and_deadline_they_came_with() -> None:
+def test_open_requests_keep_the_class_plan_and_deadline_they_started_with() -> None:
     play = play_of(BASIC_PLAN)
     [first] = started_attempts(play.send_request(gateway_count=1))
     request = play.gateway.requests[first.request_id]
@@ -142,7 +142,7 @@
     )
     assert (request.request_class, request.plan, request.deadline) == (IDEMPOTENT_CLASS, BASIC_PLAN, 104.0)
     play.gateway.forwarder.retry_budget.level = 5.0
-    # more than the new deadline allows
+    # This is later than the new deadline allows.
     [again] = started_attempts(play.end_attempt(first, Outcome.CONNECT_FAILED, after=0.5))
     assert again.request_id == first.request_id
     assert play.end_attempt(again, attempt=1) == [] and not play.gateway.requests
@@ -152,7 +152,7 @@
     ]
 
 
-def test_a_cap_on_open_attempts_changes_for_those_that_come() -> None:
+def test_a_changed_concurrency_limit_applies_to_new_requests() -> None:
     play = play_of(Plan("basic", rate=1000.0, burst=1000.0, concurrency_limit=3))
     assert len([s for _ in range(5) for s in started_attempts(play.send_request(gateway_count=1))]) == 3
     change(play, Plan("basic", rate=1000.0, burst=1000.0, concurrency_limit=2))
@@ -162,7 +162,7 @@
     )
 
 
-def test_what_the_settings_say_of_the_fleet_changes_too() -> None:
+def test_settings_of_the_fleet_are_applied_too() -> None:
     play = GatewayHarness(FIXED)
     outliers = play.gateway.cluster.outliers
     assert outliers.health_checks.interval == pytest.approx(0.25)
@@ -186,7 +186,7 @@
     assert not any(isinstance(a, StartHealthCheck) for a in actions)
 
 
-def test_the_same_settings_again_change_nothing() -> None:
+def test_applying_the_same_settings_again_changes_nothing() -> None:
     play = GatewayHarness(FIXED)
     spend(play, 3)
     before = play.gateway.handover_state(play.now)
@@ -194,15 +194,15 @@
     assert play.gateway.handover_state(play.now) == before
 
 
-def test_an_heir_knows_what_the_ceilings_of_the_unseen_hold() -> None:
+def test_a_successor_inherits_the_ceilings_of_unseen_customers() -> None:
     plan = Plan("basic", rate=1000.0, burst=1000.0, ceiling_rate=1.0, ceiling_burst=100.0)
-    old = play_of(plan)
-    old.now += 10.0
-    change(old, replace(plan, ceiling_rate=20.0))
-    new = play_of(replace(plan, ceiling_rate=20.0))
-    new.now = old.now
-    new.handle_after(0.0, old.gateway.handover_state(old.now))
-    assert spend(new) == 10  # not 200: the rate is new
+    predecessor = play_of(plan)
+    predecessor.now += 10.0
+    change(predecessor, replace(plan, ceiling_rate=20.0))
+    successor = play_of(replace(plan, ceiling_rate=20.0))
+    successor.now = predecessor.now
+    successor.handle_after(0.0, predecessor.gateway.handover_state(predecessor.now))
+    assert spend(successor) == 10  # Not 200: the successor rate did not apply to the earlier 10 s.
 
 
 BURSTS, RATES = (1.0, 3.0, 10.0, 40.0), (0.1, 1.0, 5.0)
@@ -220,7 +220,7 @@
 
 
 def steps_of(plans: st.SearchStrategy[Plan]) -> st.SearchStrategy[tuple[Plan, list[tuple[str, object]]]]:
-    """A first plan, and what follows."""
+    """Generate a first plan and a list of steps."""
     return st.tuples(
         plans,
         st.lists(
