--- a/ingress/emulator/disk.py
+++ b/ingress/emulator/disk.py
@@ -1,8 +1,8 @@
-"""A disk under SQLite that loses power: what was written, in which order, and what of it may be there afterwards.
+"""Simulated loss of power under SQLite: records the disk operations, and computes what may remain of them.
 
-`Recorder` is a VFS that passes everything on and keeps a record.  `crash` gives the files as they may stand when the
-power goes after any operation: what was synced is there, and of the rest any part, torn at any sector.  A disk that
-lies has synced nothing.
+`Recorder` is a VFS that forwards all operations to the real one and records them.  `crash` computes a possible content
+of the files after a loss of power: everything that was synced, and any part of the rest, torn at any sector.  A lying
+disk acknowledges a sync without doing it.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 import apsw
 
-SECTOR = 512  # bytes that are written completely or not at all
-TORN_SHARE = 0.5  # of the writes that are torn, and of their sectors that are there
+SECTOR_BYTES = 512  # a sector is written completely or not at all
+TORN_PROBABILITY = 0.5  # that a remaining unsynced write is torn, and that a sector of a torn write remains
 
 
 class OperationKind(Enum):
-    """What was done to the disk."""
+    """The kind of a disk operation."""
 
     WRITE = "write"
     TRUNCATE = "cut"
@@ -34,7 +34,14 @@
 
 @dataclass(frozen=True)
 class Operation:
-    """One operation; `offset` is where a write begins, or the size after a truncation."""
+    """One disk operation.
+
+    Attributes:
+        kind: The kind of the operation.
+        name: The name of the file, without its folder.
+        offset: The start of a write, or the size after a truncation (bytes).
+        data: The bytes of a write.
+    """
 
     kind: OperationKind
     name: str
@@ -43,32 +50,32 @@
 
 
 class RecordedFile(apsw.VFSFile):
-    """A file of SQLite whose operations are recorded; its methods have SQLite's names."""
+    """A file of SQLite whose operations are recorded; SQLite defines the names of its methods."""
 
     def __init__(self, recorder: Recorder, base: str, name: Any, flags: list[int]) -> None:
-        text = name.filename() if hasattr(name, "filename") else str(name)
+        path = name.filename() if hasattr(name, "filename") else str(name)
         self.recorder = recorder
-        self.file = Path(text).name
+        self.file_name = Path(path).name
         super().__init__(base, name, flags)
 
     def xWrite(self, data: Any, offset: int) -> None:
-        """Writes."""
-        self.recorder.operations.append(Operation(OperationKind.WRITE, self.file, offset, bytes(data)))
+        """Record a write and forward it."""
+        self.recorder.operations.append(Operation(OperationKind.WRITE, self.file_name, offset, bytes(data)))
         super().xWrite(data, offset)
 
     def xTruncate(self, size: int) -> None:
-        """Truncates."""
-        self.recorder.operations.append(Operation(OperationKind.TRUNCATE, self.file, size))
+        """Record a truncation and forward it."""
+        self.recorder.operations.append(Operation(OperationKind.TRUNCATE, self.file_name, size))
         super().xTruncate(size)
 
     def xSync(self, flags: int) -> None:
-        """Syncs."""
+        """Forward a sync, and record it once it has succeeded."""
         super().xSync(flags)
-        self.recorder.operations.append(Operation(OperationKind.SYNC, self.file))
+        self.recorder.operations.append(Operation(OperationKind.SYNC, self.file_name))
 
 
 class Recorder(apsw.VFS):
-    """A disk for SQLite that passes everything on and records it; its methods have SQLite's names."""
+    """A VFS for SQLite that records the operations it forwards; SQLite defines the names of its methods."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -76,31 +83,31 @@
         super().__init__(name, "")
 
     def xOpen(self, name: Any, flags: list[int]) -> apsw.VFSFile:
-        """Opens a file."""
+        """Open a file whose operations are recorded."""
         return RecordedFile(self, "", name, flags)
 
     def xDelete(self, name: str, syncdir: bool) -> None:
-        """Deletes a file."""
+        """Delete a file, and record the deletion once it has succeeded."""
         super().xDelete(name, syncdir)
         self.operations.append(Operation(OperationKind.DELETE, Path(name).name))
         if syncdir:
             self.operations.append(Operation(OperationKind.SYNC_FOLDER, ""))
 
     def fsync(self, handle: int) -> None:
-        """In place of `os.fsync`, for what the program itself syncs; of a folder this makes deletions durable."""
+        """Replace `os.fsync` outside SQLite; records the sync of a folder, which makes deletions durable."""
         os.fsync(handle)
         if stat.S_ISDIR(os.fstat(handle).st_mode):
             self.operations.append(Operation(OperationKind.SYNC_FOLDER, ""))
 
 
 class Connection:
-    """What the store uses of `sqlite3.Connection`, on the recorded disk."""
+    """The part of the `sqlite3.Connection` interface that the store uses, on the recorded disk."""
 
     def __init__(self, vfs: str, path: Path) -> None:
         self.base = apsw.Connection(str(path), vfs=vfs)
 
     def execute(self, text: str, values: Sequence[Any] = ()) -> Cursor:
-        """Runs a statement and reads all its rows."""
+        """Execute a statement and read all its rows."""
         return Cursor(list(self.base.execute(text, tuple(values))))
 
     @property
@@ -109,7 +116,7 @@
         return bool(self.base.in_transaction)
 
     def close(self) -> None:
-        """Closes the connection."""
+        """Close the connection."""
         self.base.close()
 
 
@@ -120,11 +127,11 @@
         self.rows = rows
 
     def fetchall(self) -> list[Any]:
-        """All rows."""
+        """Return all rows."""
         return self.rows
 
     def fetchone(self) -> Any:
-        """The first row, or None."""
+        """Return the first row, or None."""
         return self.rows[0] if self.rows else None
 
     def __iter__(self) -> Iterator[Any]:
@@ -132,7 +139,7 @@
 
 
 def _apply(files: dict[str, bytearray], operation: Operation, rng: random.Random | None = None) -> None:
-    """Applies one operation; with `rng` only some of its sectors."""
+    """Apply one operation to the files; with `rng` a write is torn, and only some of its sectors are applied."""
     if operation.kind is OperationKind.DELETE:
         files.pop(operation.name, None)
         return
@@ -147,8 +154,8 @@
     start = operation.offset
     end = operation.offset + len(operation.data)
     while start < end:
-        sector_end = min(end, start - start % SECTOR + SECTOR)
-        if rng is None or rng.random() < TORN_SHARE:
+        sector_end = min(end, start - start % SECTOR_BYTES + SECTOR_BYTES)
+        if rng is None or rng.random() < TORN_PROBABILITY:
             if len(file) < sector_end:
                 file.extend(bytes(sector_end - len(file)))
             file[start:sector_end] = operation.data[start - operation.offset : sector_end - operation.offset]
@@ -158,13 +165,17 @@
 def crash(
     operations: Iterable[Operation], rng: random.Random | None, keep: float, lies: bool = False
 ) -> dict[str, bytes]:
-    """The files as they may stand after a loss of power.
+    """Compute a possible content of the files after a loss of power.
 
     Args:
-        operations: what was done to the disk before.
-        rng: draws what is there of the operations that were not synced, and what of it is torn; None: nothing is torn.
-        keep: the chance of each such operation to be there.
-        lies: the disk has synced nothing.
+        operations: The operations before the loss of power.
+        rng: The random generator that selects which unsynced operations remain, and which of them are torn. Without
+            it all of them remain, or none if `keep` is 0, and nothing is torn.
+        keep: The probability that an unsynced operation remains.
+        lies: Whether the disk ignored every sync.
+
+    Returns:
+        The content of each file, by its name.
     """
     files: dict[str, bytearray] = {}
     pending: list[Operation] = []
@@ -182,12 +193,12 @@
             if keep:
                 _apply(files, operation)
         elif rng.random() < keep:
-            _apply(files, operation, rng if rng.random() < TORN_SHARE else None)
+            _apply(files, operation, rng if rng.random() < TORN_PROBABILITY else None)
     return {name: bytes(data) for name, data in files.items()}
 
 
 def _sync_file(files: dict[str, bytearray], pending: list[Operation], name: str) -> list[Operation]:
-    """Applies what is pending of a file; what is still pending."""
+    """Apply the pending operations of a file, and return those that are still pending."""
     for operation in pending:
         if operation.name == name:
             _apply(files, operation)
@@ -195,10 +206,12 @@
 
 
 def _sync_folder(files: dict[str, bytearray], pending: list[Operation]) -> list[Operation]:
-    """Makes deletions durable; what is still pending."""
+    """Make the pending deletions durable, and return the operations that are still pending."""
     while any(operation.kind is OperationKind.DELETE for operation in pending):
-        last = max(place for place, operation in enumerate(pending) if operation.kind is OperationKind.DELETE)
-        name = pending[last].name
+        last_delete = max(index for index, operation in enumerate(pending) if operation.kind is OperationKind.DELETE)
+        name = pending[last_delete].name
         files.pop(name, None)
-        pending = [operation for place, operation in enumerate(pending) if operation.name != name or place > last]
+        pending = [
+            operation for index, operation in enumerate(pending) if operation.name != name or index > last_delete
+        ]
     return pending
--- a/ingress/emulator/power.py
+++ b/ingress/emulator/power.py
@@ -1,7 +1,7 @@
-"""Losses of power under the registry's store: after every operation of its disk, on an honest disk or one that lies.
+"""Loss of power under the registry's store, after each disk operation, on an honest disk or one that lies about syncs.
 
-A history of writes is played once on a recorded disk.  Then, for each operation, the files are laid as they may stand
-if the power went right after it, and the store is opened there as the service would.
+A history of writes is made once on a recorded disk.  Then, for each operation, the files are written as a loss of power
+right after it may leave them, and the store is opened there as the service would open it.
 """
 
 from __future__ import annotations
@@ -21,28 +21,30 @@
 from ingress.endpoint_registry.store import Store, StoreError
 from ingress.runtime import durable_files
 
-State = tuple[int, frozenset[str]]  # version, ids
-# The chance of an operation that was not synced to be there, by variant.
-KEPT_BY_HONEST_DISK = (0.0, 1.0, 0.5)
-KEPT_BY_LYING_DISK = (1.0, 0.9, 0.6)
-DRAWN_VARIANT = 2  # of the honest disk's: drawn and torn
-NEXT_BOOT = "after"  # names the next boot of the machine
-CHECKPOINT_EVERY = 7  # writes
-CHECKPOINT_AT = 3  # of these
-REMOVED_AFTER = 9  # writes an entry is removed
-REMOVAL_EVERY = 3  # writes
+State = tuple[int, frozenset[str]]  # the version of a list, and the ids of its entries
+# The probability that an unsynced operation remains after a loss of power, by variant.
+HONEST_DISK_KEEP_PROBABILITIES = (0.0, 1.0, 0.5)
+LYING_DISK_KEEP_PROBABILITIES = (1.0, 0.9, 0.6)
+RANDOM_VARIANT = 2  # the index of the honest disk's variant with random and torn operations
+FIRST_BOOT_ID = "before"
+NEXT_BOOT_ID = "after"
+WRITES_PER_CHECKPOINT = 7
+CHECKPOINT_OFFSET = 3  # the position of the checkpoint within each group of writes
+REMOVAL_AGE_WRITES = 9  # an entry is removed this many writes after it was added
+WRITES_PER_REMOVAL = 3
+ZONE_LENGTH = 300
 
 
 class OpenResult(Enum):
-    """What becomes of a store after a loss of power."""
+    """How opening a store ends after a loss of power."""
 
     OPENED = "opened"
-    SET_ASIDE = "aside"
+    QUARANTINED = "aside"
     REFUSED = "refused"
 
 
-class _Os:
-    """`os` as the files of the store see it: what they sync is recorded too."""
+class _RecordingOs:
+    """A replacement of the module `os` whose `fsync` is recorded."""
 
     def __init__(self, recorder: Recorder) -> None:
         self.fsync = recorder.fsync
@@ -53,26 +55,26 @@
 
 @contextmanager
 def recorded(recorder: Recorder) -> Iterator[None]:
-    """Stores that are opened meanwhile are on the recorded disk."""
+    """Put the stores that are opened within the context on the recorded disk."""
 
     def connect(path: Any, **_: Any) -> Connection:
         return Connection(recorder.name, path)
 
     originals: list[tuple[Any, str, Any]] = [(sqlite3, "connect", sqlite3.connect), (durable_files, "os", os)]
-    setattr(sqlite3, "connect", connect)  # noqa: B010, both are put back
-    setattr(durable_files, "os", _Os(recorder))  # noqa: B010
+    setattr(sqlite3, "connect", connect)  # noqa: B010, both are restored below
+    setattr(durable_files, "os", _RecordingOs(recorder))  # noqa: B010
     try:
         yield
     finally:
-        for place, name, value in originals:
-            setattr(place, name, value)
+        for module, name, value in originals:
+            setattr(module, name, value)
 
 
 def _entry(name: str, state: str = "ready") -> dict[str, Any]:
     return {
         "id": name,
         "addr": "127.0.0.1:6379",
-        "zone": "z" * 300,
+        "zone": "z" * ZONE_LENGTH,
         "kind": "m",
         "cell": 1,
         "state": state,
@@ -82,13 +84,13 @@
 
 
 class History:
-    """Writes of a store, and each state that it had, with the operations of the disk.
+    """A sequence of writes to a store, with the state after each of them and the disk operations.
 
     Attributes:
-        states: the version and the ids after each write.
-        operation_counts: how many operations there were when each state was answered.
-        operations: of the disk.
-        bound: the content of the file that bounds the versions.
+        states: The version and the ids after the start and after each write.
+        operation_counts: The number of disk operations when each state was acknowledged.
+        operations: The disk operations of all writes.
+        bound: The content of the file with the upper bound of the versions.
     """
 
     def __init__(self, folder: Path, writes: int) -> None:
@@ -96,54 +98,74 @@
         self.states: list[State] = []
         self.operation_counts: list[int] = []
         with recorded(recorder):
-            store = Store(folder, boot=lambda: "before")
+            store = Store(folder, boot=lambda: FIRST_BOOT_ID)
             ids: set[str] = set()
-            self._note(recorder, store, ids)
+            self._record_state(recorder, store, ids)
             for number in range(writes):
-                if number % CHECKPOINT_EVERY == CHECKPOINT_AT:
-                    store.base.execute("PRAGMA wal_checkpoint(PASSIVE)")  # as it comes by itself after many pages
+                if number % WRITES_PER_CHECKPOINT == CHECKPOINT_OFFSET:
+                    store.base.execute("PRAGMA wal_checkpoint(PASSIVE)")  # SQLite does this itself after many pages
                 rows = [(_entry(f"s{number}"), 0.0)]
                 ids.add(f"s{number}")
-                if number >= REMOVED_AFTER and number % REMOVAL_EVERY == 0:
-                    rows.append((_entry(f"s{number - REMOVED_AFTER}", "gone"), 0.0))
-                    ids.discard(f"s{number - REMOVED_AFTER}")
+                if number >= REMOVAL_AGE_WRITES and number % WRITES_PER_REMOVAL == 0:
+                    rows.append((_entry(f"s{number - REMOVAL_AGE_WRITES}", "gone"), 0.0))
+                    ids.discard(f"s{number - REMOVAL_AGE_WRITES}")
                 store.write(store.version + 1, rows)
-                self._note(recorder, store, ids)
+                self._record_state(recorder, store, ids)
             self.bound = store.bound_path.read_bytes()
             self.operations = list(recorder.operations)
             store.base.close()
 
-    def _note(self, recorder: Recorder, store: Store, ids: set[str]) -> None:
+    def _record_state(self, recorder: Recorder, store: Store, ids: set[str]) -> None:
         self.states.append((store.version, frozenset(ids)))
         self.operation_counts.append(len(recorder.operations))
 
-    def last_answered(self, operations: int) -> int:
-        """The index of the last state that was answered by then; -1 for none."""
-        return sum(count <= operations for count in self.operation_counts) - 1
+    def last_acknowledged(self, operation_count: int) -> int:
+        """Return the index of the last state acknowledged within the first operations; -1 if there is none."""
+        return sum(count <= operation_count for count in self.operation_counts) - 1
 
 
-def open_after(folder: Path, files: dict[str, bytes], bound: bytes) -> tuple[OpenResult, State]:
-    """What a service finds in these files after another boot of the machine, and the state that it serves then."""
+def open_after_reboot(folder: Path, files: dict[str, bytes], bound: bytes) -> tuple[OpenResult, State]:
+    """Open a store as the service would after the machine has booted again.
+
+    Args:
+        folder: The folder to make for the store.
+        files: The content of the files of the store.
+        bound: The content of the file with the upper bound of the versions.
+
+    Returns:
+        The result of opening the store, and the state that the service would serve.
+
+    Raises:
+        AssertionError: The store was refused with an error that does not name the folder.
+    """
     folder.mkdir()
     for name, data in files.items():
         if not name.endswith("-shm"):
             (folder / name).write_bytes(data)
     (folder / "bound").write_bytes(bound)
     try:
-        store = Store(folder, boot=lambda: NEXT_BOOT)
+        store = Store(folder, boot=lambda: NEXT_BOOT_ID)
     except StoreError as error:
         if str(folder) not in str(error):
-            raise AssertionError(f"it does not say what can't be opened: {error}") from error
+            raise AssertionError(
+                f"the error of the refused store does not name its folder {folder}: {error}"
+            ) from error
         return OpenResult.REFUSED, (0, frozenset())
     state = store.version, frozenset(entry["id"] for entry, _, _ in store.rows)
-    is_aside = bool(list(folder.glob("list.db*.damaged-*")))
+    is_quarantined = bool(list(folder.glob("list.db*.damaged-*")))
     store.close()
-    return OpenResult.SET_ASIDE if is_aside else OpenResult.OPENED, state
+    return OpenResult.QUARANTINED if is_quarantined else OpenResult.OPENED, state
 
 
 @dataclass
 class PowerReport:
-    """All losses of power: how many ended how, and each that was wrong."""
+    """The outcome of all simulated losses of power.
+
+    Attributes:
+        plays: The number of losses of power.
+        ends: The number of losses of power by the result of opening the store.
+        wrong: A description of each loss of power after which the store broke its guarantees.
+    """
 
     plays: int = 0
     ends: Counter[str] = field(default_factory=Counter)
@@ -153,17 +175,20 @@
 def lose_power_at_each_step(
     folder: Path, writes: int, seed: int, lies: bool, progress: Callable[[int, int], None] | None = None
 ) -> PowerReport:
-    """Loses power after each operation of a history.
+    """Simulate a loss of power after each disk operation of a history of writes.
 
-    Wrong is, on an honest disk, any loss of what was answered; on one that lies, a list that never was; on both, a
-    version that may have been served before.
+    On an honest disk the loss of an acknowledged write is a violation; on a disk that lies, a list that never existed;
+    on both, a version that may have been served before.
 
     Args:
-        folder: where the stores are laid out.
-        writes: of the history.
-        seed: of what is lost and torn.
-        lies: the disk says that all is safe, and keeps nothing but by chance.
-        progress: is called with the number of the operation, and how many there are.
+        folder: The folder for the stores.
+        writes: The number of writes in the history.
+        seed: The seed for selecting the operations that are lost or torn.
+        lies: Whether the disk acknowledges syncs without doing them, so that data remains only by chance.
+        progress: The callback with the number of operations tested and the total.
+
+    Returns:
+        The number of losses of power by their result, and the violations.
     """
     folder.mkdir(parents=True, exist_ok=True)
     history = History(folder / "list", writes)
@@ -172,13 +197,13 @@
     for count in range(len(history.operations) + 1):
         if progress is not None:
             progress(count, len(history.operations))
-        for variant, keep in enumerate(KEPT_BY_LYING_DISK if lies else KEPT_BY_HONEST_DISK):
-            drawn = rng if lies or variant == DRAWN_VARIANT else None
-            files = crash(history.operations[:count], drawn, keep, lies)
-            result, state = open_after(folder / f"{count}-{variant}", files, history.bound)
+        for variant, keep in enumerate(LYING_DISK_KEEP_PROBABILITIES if lies else HONEST_DISK_KEEP_PROBABILITIES):
+            variant_rng = rng if lies or variant == RANDOM_VARIANT else None
+            files = crash(history.operations[:count], variant_rng, keep, lies)
+            result, state = open_after_reboot(folder / f"{count}-{variant}", files, history.bound)
             report.plays += 1
             report.ends[result.value] += 1
-            if _is_wrong(history, count, lies, result, state):
+            if _is_violation(history, count, lies, result, state):
                 version, ids = state
                 report.wrong.append(
                     f"after operation {count}, variant {variant}: {result.value}, version {version}, {len(ids)} entries"
@@ -186,18 +211,20 @@
     return report
 
 
-def _is_wrong(history: History, count: int, lies: bool, result: OpenResult, state: State) -> bool:
-    last = history.last_answered(count)
+def _is_violation(history: History, count: int, lies: bool, result: OpenResult, state: State) -> bool:
+    """Report whether the store broke its guarantees after a loss of power."""
+    last = history.last_acknowledged(count)
     is_lost = not lies and last >= 0 and result is not OpenResult.OPENED
     if result is OpenResult.REFUSED:
         return is_lost
     version, ids = state
-    return is_lost or ids not in _allowed(history, last, lies) or version <= history.states[-1][0]
+    return is_lost or ids not in _allowed_ids(history, last, lies) or version <= history.states[-1][0]
 
 
-def _allowed(history: History, last: int, lies: bool) -> set[frozenset[str]]:
+def _allowed_ids(history: History, last: int, lies: bool) -> set[frozenset[str]]:
+    """Return the sets of ids that the store may have, where `last` is the last acknowledged state."""
     if lies:
         return {ids for _, ids in history.states} | {frozenset()}
     if last < 0:
         return {frozenset()}
-    return {ids for _, ids in history.states[last : last + 2]}  # the write under way may be there as well
+    return {ids for _, ids in history.states[last : last + 2]}  # an unacknowledged write may have been stored as well
