--- a/ingress/emulator/__init__.py
+++ b/ingress/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""The emulator: plays a fleet through failure, simulated or on real sockets.  `run` imports none of it."""
+"""Emulator: runs a fleet through failures, simulated or on real sockets; `ingressctl run` imports none of it."""
--- a/ingress/emulator/compare.py
+++ b/ingress/emulator/compare.py
@@ -1,4 +1,4 @@
-"""Figures of a play, and versions compared in pairs: the same seeds, one difference a seed."""
+"""Metrics of a run, and paired comparisons of versions: one difference per seed that both versions ran."""
 
 from __future__ import annotations
 
@@ -9,90 +9,123 @@
 
 import numpy as np
 
-SLOW = 2.0  # times the median second before the first fault: a second of slow answers
-RESAMPLES = 4000
-MIN_PAIRS = 2  # fewer tell nothing of the spread
-# Figure, its meaning, and whether more of it is better.
+# A second is slow if its mean latency exceeds this multiple of the median second before the first fault.
+SLOW_RATIO = 2.0
+RESAMPLE_COUNT = 4000
+RESAMPLE_SEED = 1
+MIN_PAIRS = 2  # a single pair says nothing about the variance between seeds
+INTERVAL_PERCENTILES = [2.5, 97.5]  # the bounds of the 95% interval
+# Each metric with its meaning, and whether a higher value is better.
 FIGURES = {
-    "good": ("worth served within quotas, less the price of what went beyond, of the worth offered", True),
-    "served": ("first tries answered within their aim", True),
-    "p50_ms": ("median time to the answer, over all tries", False),
-    "p99_ms": ("99 in 100 answers take no longer", False),
-    "refused": ("refusals a try", False),
-    "with_room": ("refusals a try while half of the quota was unused", False),
-    "beyond": ("units sent on beyond quotas", False),
-    "attempts": ("attempts a try that was sent on", False),
-    "slow_s": ("seconds in which answers took over twice what they took before the first fault", False),
-    "broken": ("rules broken", False),
+    "good": (
+        "priority weight served within quotas, less the cost of usage beyond them, as a share of the weight offered",
+        True,
+    ),
+    "served": ("share of requests, not counting retries, served within their latency objective", True),
+    "p50_ms": ("median latency of served requests, retries included", False),
+    "p99_ms": ("99th percentile of the latency of served requests, retries included", False),
+    "refused": ("refusals per client attempt", False),
+    "with_room": ("refusals per client attempt while at least half of the quota was unused", False),
+    "beyond": ("share of the forwarded client attempts that were beyond quotas", False),
+    "attempts": ("attempts at servers per forwarded client attempt", False),
+    "slow_s": ("seconds whose mean latency is over twice the median before the first fault", False),
+    "broken": ("rule violations", False),
 }
 
 
 def figures(result: dict[str, Any], first_fault: float = 0.0) -> dict[str, float]:
-    """The figures of one play."""
+    """Compute the metrics of one run from its result."""
     exact = result["exact"]
     totals = exact["totals"]
     latency = exact["latency_ms"].get("request", {})
-    first = totals.get("first tries", 0)
-    tries = totals.get("tries", 0)
-    sent = totals.get("sent on", 0)
+    requests = totals.get("first tries", 0)
+    client_attempts = totals.get("tries", 0)
+    forwarded = totals.get("sent on", 0)
     refused = sum(count for key, count in totals.items() if key.startswith("refused."))
     return {
         "good": exact["good"],
-        "served": totals.get("served", 0) / max(1, first),
+        "served": totals.get("served", 0) / max(1, requests),
         "p50_ms": latency.get("p50", 0.0),
         "p99_ms": latency.get("p99", 0.0),
-        "refused": refused / max(1, tries),
-        "with_room": totals.get("refused with room", 0) / max(1, tries),
-        "beyond": totals.get("beyond quotas", 0) / max(1, sent),
-        "attempts": totals.get("attempts", 0) / max(1, sent),
+        "refused": refused / max(1, client_attempts),
+        "with_room": totals.get("refused with room", 0) / max(1, client_attempts),
+        "beyond": totals.get("beyond quotas", 0) / max(1, forwarded),
+        "attempts": totals.get("attempts", 0) / max(1, forwarded),
         "slow_s": slow_seconds(exact["series"], first_fault),
         "broken": float(sum(exact["broken"].values())),
     }
 
 
 def slow_seconds(series: Sequence[dict[str, Any]], first_fault: float) -> float:
-    """Seconds from the first fault on with slow answers; 0 where nothing tells what is usual."""
+    """Count the seconds from the first fault on whose mean latency is high.
+
+    Return 0 if no second before the fault has a latency to compare with.
+    """
     means = {row["second"]: row["request.sum"] / row["request.n"] for row in series if row.get("request.n")}
     before = [value for second, value in means.items() if 0 < second < first_fault - 1]
     if not before:
         return 0.0
-    usual = median(before)
-    return float(sum(value > SLOW * usual for second, value in means.items() if second >= first_fault))
+    baseline = median(before)
+    return float(sum(value > SLOW_RATIO * baseline for second, value in means.items() if second >= first_fault))
 
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """One figure of two versions over the seeds that both played."""
+    """The change of one metric between two versions, over the seeds that both ran.
+
+    Attributes:
+        figure: The name of the metric.
+        pairs: The number of seeds that both versions ran.
+        before: The mean of the metric in the first version.
+        after: The mean of the metric in the second version.
+        low: The lower bound of the 95% bootstrap interval of the mean difference.
+        high: The upper bound of that interval.
+        spread: The standard deviation of the differences.
+        better: The number of seeds on which the second version is better.
+    """
 
     figure: str
     pairs: int
-    before: float  # means
+    before: float
     after: float
-    low: float  # 95 in 100 resamples of the mean difference lie between
+    low: float
     high: float
-    spread: float  # deviation of the differences
-    better: int  # seeds on which the second version is better
+    spread: float
+    better: int
 
     @property
     def told(self) -> bool:
-        """Whether the seeds agree that there is one."""
+        """Whether the 95% interval of the mean difference excludes zero."""
         return self.pairs > 1 and (self.low > 0 or self.high < 0)
 
 
 def compare(before: dict[int, dict[str, float]], after: dict[int, dict[str, float]]) -> list[Difference]:
-    """Differences by figure, paired by seed."""
+    """Compare two versions metric by metric, paired by seed.
+
+    Args:
+        before: The metrics of the first version, by seed.
+        after: The metrics of the second version, by seed.
+
+    Returns:
+        A difference for each metric; none if the versions have no seed in common.
+    """
     seeds = sorted(before.keys() & after.keys())
     return (
         [
-            _difference(figure, [before[s][figure] for s in seeds], [after[s][figure] for s in seeds], more)
-            for figure, (_, more) in FIGURES.items()
+            _difference(
+                figure,
+                [before[seed][figure] for seed in seeds],
+                [after[seed][figure] for seed in seeds],
+                higher_is_better,
+            )
+            for figure, (_, higher_is_better) in FIGURES.items()
         ]
         if seeds
         else []
     )
 
 
-def _difference(figure: str, before: list[float], after: list[float], more: bool) -> Difference:
+def _difference(figure: str, before: list[float], after: list[float], higher_is_better: bool) -> Difference:
     changes = [new - old for old, new in zip(before, after, strict=True)]
     low, high = interval(changes)
     return Difference(
@@ -103,15 +136,20 @@
         low,
         high,
         stdev(changes) if len(changes) > 1 else 0.0,
-        sum((change > 0) is more and change != 0 for change in changes),
+        sum((change > 0) is higher_is_better and change != 0 for change in changes),
     )
 
 
 def interval(values: Iterable[float]) -> tuple[float, float]:
-    """Bootstrap of the mean: the middle 95 in 100, of fixed resamples."""
-    known = np.asarray(list(values), dtype=float)
-    if known.size < MIN_PAIRS:
+    """Return the 95% bootstrap interval of the mean, from resamples with a fixed seed.
+
+    The interval is unbounded if there are fewer than `MIN_PAIRS` values.
+    """
+    samples = np.asarray(list(values), dtype=float)
+    if samples.size < MIN_PAIRS:
         return float("-inf"), float("inf")
-    picks = np.random.Generator(np.random.PCG64(1)).integers(0, known.size, (RESAMPLES, known.size))
-    low, high = np.percentile(known[picks].mean(axis=1), [2.5, 97.5])
+    resamples = np.random.Generator(np.random.PCG64(RESAMPLE_SEED)).integers(
+        0, samples.size, (RESAMPLE_COUNT, samples.size)
+    )
+    low, high = np.percentile(samples[resamples].mean(axis=1), INTERVAL_PERCENTILES)
     return float(low), float(high)
--- a/ingress/emulator/follow.py
+++ b/ingress/emulator/follow.py
@@ -1,4 +1,4 @@
-"""Follows one request through the logs of a play on real sockets: clients, ingresses, servers."""
+"""Follows one request through the logs of a run on real sockets: clients, ingresses and servers."""
 
 from __future__ import annotations
 
@@ -9,29 +9,36 @@
 
 
 def follow(folder: Path, request: str) -> Iterator[str]:
-    """The lines that name it, of all plays below `folder`, in order of time within a play.
+    """Yield the log lines of a request from all runs below `folder`, ordered by time within each run.
 
-    `request` is the id of a try, or of a client's wish: what stands before the dot, which all its tries share.
+    Args:
+        folder: The folder with the logs of one or several runs.
+        request: The id of one client attempt, or its part before the dot, which the first attempt and all its retries
+            share.
+
+    Yields:
+        The folder of a run, followed by its lines with the seconds since the first of them.
     """
-    for play in sorted({path.parent for path in folder.rglob("*.log")}):
-        found = sorted(
-            (line for path in sorted(play.glob("*.log")) for line in _lines(path, request)),
+    for run_folder in sorted({path.parent for path in folder.rglob("*.log")}):
+        lines = sorted(
+            (line for path in sorted(run_folder.glob("*.log")) for line in _lines(path, request)),
             key=lambda line: (line["time"], line["id"]),
         )
-        if found:
-            yield f"{play.relative_to(folder)}:"
-            began = found[0]["time"]
-            for line in found:
-                rest = " ".join(
+        if lines:
+            yield f"{run_folder.relative_to(folder)}:"
+            started_at = lines[0]["time"]
+            for line in lines:
+                fields = " ".join(
                     f"{key}={value}"
                     for key, value in line.items()
                     if key not in ("time", "id", "where", "event", "level", "logger")
                 )
-                head = f"{line['time'] - began:9.4f} {line['id']:>8} {line['where']:>10}"
-                yield f"{head} {line['event']} {rest}".rstrip()
+                head = f"{line['time'] - started_at:9.4f} {line['id']:>8} {line['where']:>10}"
+                yield f"{head} {line['event']} {fields}".rstrip()
 
 
 def _lines(path: Path, request: str) -> Iterator[dict[str, Any]]:
+    """Yield the lines of one log that belong to a request, each with the name of the log as `where`."""
     with path.open(encoding="utf-8", errors="replace") as file:
         for text in file:
             if request not in text or not text.startswith("{"):
@@ -39,7 +46,7 @@
             try:
                 line = json.loads(text)
             except ValueError:
-                continue  # torn by a kill
-            name = str(line.get("id", ""))
-            if name == request or name.partition(".")[0] == request:
+                continue  # truncated by a kill
+            request_id = str(line.get("id", ""))
+            if request_id == request or request_id.partition(".")[0] == request:
                 yield {"where": path.stem, **line}
--- a/ingress/emulator/play.py
+++ b/ingress/emulator/play.py
@@ -1,6 +1,6 @@
-"""One play in a process of its own: `python -m ingress.emulator.play FILE SEED FOLDER VERSION`.
+"""Runs an experiment once, in a process of its own: `python -m ingress.emulator.play FILE SEED FOLDER VERSION`.
 
-Prints its result as one line of JSON.  SIGINT ends the play; what was measured by then is its result.
+Prints the result as one line of JSON.  SIGINT ends the run; its result is what was measured until then.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 from ingress.emulator.experiment import ExperimentError, load_experiment
 
 
-def main(words: list[str]) -> int:
-    """Plays what the command line names; the exit status."""
+def main(arguments: list[str]) -> int:
+    """Run the experiment that the command line names, and return the exit status."""
     try:
-        file, seed, folder, version = words
+        file, seed, folder, version = arguments
         experiment = load_experiment(Path(file))
     except (ValueError, ExperimentError) as error:
         print(f"ingress.emulator.play: {error}", file=sys.stderr)
@@ -28,9 +28,9 @@
     else:
         from ingress.emulator.world import Simulation, factory_builder
 
-        world = Simulation(experiment, int(seed), factory_builder=factory_builder(version, experiment))
-        signal.signal(signal.SIGINT, lambda *_: world.interrupt())
-        result = world.run()
+        simulation = Simulation(experiment, int(seed), factory_builder=factory_builder(version, experiment))
+        signal.signal(signal.SIGINT, lambda *_: simulation.interrupt())
+        result = simulation.run()
     print(json.dumps(result))
     return 0
 
--- a/ingress/emulator/results.py
+++ b/ingress/emulator/results.py
@@ -1,6 +1,6 @@
-"""Results on disk: one JSON line a play, each on the disk before the next counts.
+"""Results of an experiment on disk: one JSON line per run, synced to disk before the next one is added.
 
-A line that was torn by a kill is cut off when the file is opened again, and its play is played anew.
+A line that was truncated by a kill is removed when the file is opened again, and its run is repeated.
 """
 
 from __future__ import annotations
@@ -19,25 +19,36 @@
 
 
 class ResultsError(IngressError):
-    """The folder holds no results that can be used; the text says why."""
+    """The results in a folder can't be used; the message names the file and the reason."""
 
 
 class Results:
-    """One folder of results of one experiment."""
+    """The results of one experiment, in a folder of their own.
+
+    Attributes:
+        folder: The absolute path of the folder.
+        path: The file with a line for each run.
+        digest: The digest of the experiment, stored with each result.
+        rows: The result of each version and seed.
+    """
 
     def __init__(self, folder: Path, experiment: Experiment) -> None:
-        folder = folder.resolve()  # plays run in the folders of their versions
+        folder = folder.resolve()  # a run has the source tree of its version as its working directory
         self.folder = folder
         self.path = folder / PLAYS
         folder.mkdir(parents=True, exist_ok=True)
         (folder / EXPERIMENT).write_text(to_toml(experiment), encoding="utf-8")
         self.digest = experiment.digest()
         self.rows = read_plays(self.path) if self.path.exists() else []
-        self._drop_torn_lines()
+        self._reject_other_experiments()
+        self._rewrite_without_stale_lines()
 
-    def _drop_torn_lines(self) -> None:
+    def _reject_other_experiments(self) -> None:
         if any(row["digest"] != self.digest for row in self.rows):
-            raise ResultsError(f"{self.path} holds results of another experiment: name another folder")
+            raise ResultsError(f"{self.path} contains results of another experiment: choose another folder")
+
+    def _rewrite_without_stale_lines(self) -> None:
+        """Remove a truncated last line, and results that a later run replaced."""
         if self.path.exists():
             text = "".join(json.dumps(row) + "\n" for row in self.rows)
             if self.path.read_text(encoding="utf-8") != text:
@@ -46,13 +57,14 @@
                 draft.replace(self.path)
 
     def done(self) -> set[tuple[str, int]]:
-        """Versions and seeds that were played to the end."""
+        """Return each version and seed whose run was completed."""
         return {(row["version"], row["seed"]) for row in self.rows if row["result"]["exact"]["whole"]}
 
     def add(self, version: str, seed: int, result: dict[str, Any]) -> None:
-        """Adds the result of a play, in place of an earlier one; it is on disk when this returns."""
+        """Store the result of a run in place of an earlier one of this version and seed; it is on disk on return."""
         row = {"digest": self.digest, "version": version, "seed": seed, "result": result}
-        self.rows = [kept for kept in self.rows if (kept["version"], kept["seed"]) != (version, seed)] + [row]
+        others = [other for other in self.rows if (other["version"], other["seed"]) != (version, seed)]
+        self.rows = [*others, row]
         with self.path.open("a", encoding="utf-8") as file:
             file.write(json.dumps(row) + "\n")
             file.flush()
@@ -60,15 +72,15 @@
 
 
 def read_plays(path: Path) -> list[dict[str, Any]]:
-    """The plays in a file, the last of each version and seed; a torn line at the end is passed over.
+    """Read the runs in a file: the last one of each version and seed; a truncated last line is ignored.
 
     Raises:
-        ResultsError: the file can't be read, or another line is no result.
+        ResultsError: The file can't be read, or a line before the last one is not a result.
     """
     try:
         lines = path.read_text(encoding="utf-8").split("\n")
     except (OSError, UnicodeDecodeError) as error:
-        raise ResultsError(f"{path}: {error}") from None
+        raise ResultsError(f"cannot read the results in {path}: {error}") from None
     rows: dict[tuple[str, int], dict[str, Any]] = {}
     for number, line in enumerate(lines):
         if not line:
@@ -78,5 +90,7 @@
             rows[row["version"], row["seed"]] = row
         except (ValueError, KeyError, TypeError):
             if number < len(lines) - 1:
-                raise ResultsError(f"{path}: line {number + 1} is no result") from None
+                raise ResultsError(
+                    f"{path}: line {number + 1} is not a JSON object with a version and a seed"
+                ) from None
     return list(rows.values())
--- a/ingress/emulator/runner.py
+++ b/ingress/emulator/runner.py
@@ -1,4 +1,4 @@
-"""Plays an experiment: each version and seed in a process of its own, several at once; keeps results."""
+"""Runs an experiment: each version and seed in a process of its own, several at a time; stores the results."""
 
 from __future__ import annotations
 
@@ -18,17 +18,24 @@
 from ingress.emulator.versions import lay_out, package_of
 from ingress.errors import IngressError
 
-LAST_LINES = 5  # of the standard error of a play that failed
-INTERRUPT_TIMEOUT = 10.0  # s for an interrupted play to print its result
+STDERR_TAIL_LINES = 5  # quoted in the error of a run that failed
+INTERRUPT_TIMEOUT_S = 10.0
+STOP_POLL_INTERVAL_S = 1.0
 
 
-class PlayError(IngressError):
-    """A play ended without a result; the text has the end of its standard error."""
+class RunError(IngressError):
+    """A run ended without a result; the message quotes the end of its standard error."""
 
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """A play: the version, its seed, and the source tree of the version."""
+    """One run of an experiment.
+
+    Attributes:
+        version: The name of the version.
+        seed: The seed of the random draws.
+        tree: The source tree of the version.
+    """
 
     version: str
     seed: int
@@ -36,15 +43,16 @@
 
 
 class Runner:
-    """Plays tasks, several at once.
+    """Runs the tasks of an experiment, several at a time.
 
     Attributes:
-        experiment: what is played.
-        results: where results go.
-        jobs: plays at once.
-        on_end: is called with each play that ends and its result, None where it failed.
-        failures: what went wrong, a line for each.
-        stopping: no play begins any more.
+        experiment: The experiment to run.
+        results: The store of the results.
+        jobs: The maximum number of concurrent runs.
+        on_end: The callback for each run that ends, with its result or None if it failed.
+        failures: The error of each run that failed, one line each.
+        stopping: Whether a stop was requested, so that no further run starts.
+        children: The processes of the runs in progress.
     """
 
     def __init__(
@@ -59,9 +67,9 @@
         self.children: set[asyncio.subprocess.Process] = set()
 
     def tasks(self, folder: Path) -> list[Task]:
-        """What is still to play, with source trees in `folder`.
+        """List the runs that have no complete result, and lay out the source trees of their versions in `folder`.
 
-        Versions alternate, so that an interrupted run has pairs.
+        Versions alternate, so that an interrupted experiment has pairs to compare.
         """
         trees = {version.name: lay_out(version.revision, folder) for version in self.experiment.versions}
         done = self.results.done()
@@ -73,21 +81,21 @@
         ]
 
     async def run(self, tasks: list[Task]) -> None:
-        """Plays all, until SIGINT or SIGTERM stops it."""
+        """Run all tasks; SIGINT and SIGTERM stop it."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, self.stop)
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, self.stop)
         slots = asyncio.Semaphore(self.jobs)
         try:
             async with asyncio.TaskGroup() as group:
                 for task in tasks:
                     group.create_task(self._run_task(task, slots))
         finally:
-            for number in (signal.SIGINT, signal.SIGTERM):
-                loop.remove_signal_handler(number)
+            for signal_number in (signal.SIGINT, signal.SIGTERM):
+                loop.remove_signal_handler(signal_number)
 
     def stop(self) -> None:
-        """No play begins any more; those under way print what they have."""
+        """Start no further run, and interrupt those in progress so that they print what they have measured."""
         self.stopping = True
         for child in self.children:
             with contextlib.suppress(ProcessLookupError):
@@ -98,15 +106,15 @@
             if self.stopping:
                 return
             try:
-                result = await self._play(task)
-            except PlayError as error:
+                result = await self._run_process(task)
+            except RunError as error:
                 self.failures.append(f"{task.version}, seed {task.seed}: {error}")
                 self.on_end(task, None)
                 return
             self.results.add(task.version, task.seed, result)
             self.on_end(task, result)
 
-    async def _play(self, task: Task) -> dict[str, Any]:
+    async def _run_process(self, task: Task) -> dict[str, Any]:
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -120,23 +128,27 @@
             stdin=asyncio.subprocess.DEVNULL,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
-            start_new_session=True,
-        )  # a terminal's interrupt comes through `stop` alone
+            start_new_session=True,  # an interrupt from the terminal reaches the process only through `stop`
+        )
         self.children.add(child)
         if self.stopping:
             self.stop()
         try:
             communication = asyncio.create_task(child.communicate())
             while not communication.done():
-                await asyncio.wait({communication}, timeout=INTERRUPT_TIMEOUT if self.stopping else 1.0)
+                await asyncio.wait(
+                    {communication}, timeout=INTERRUPT_TIMEOUT_S if self.stopping else STOP_POLL_INTERVAL_S
+                )
                 if self.stopping and not communication.done():
                     child.kill()
-            out, err = await communication
+            stdout, stderr = await communication
         finally:
             self.children.discard(child)
         try:
-            found: dict[str, Any] = json.loads(out)
+            result: dict[str, Any] = json.loads(stdout)
         except ValueError:
-            last = err.decode("utf-8", "replace").strip().split("\n")[-LAST_LINES:]
-            raise PlayError(f"ended with status {child.returncode}: {' | '.join(last)}") from None
-        return found
+            stderr_tail = stderr.decode("utf-8", "replace").strip().split("\n")[-STDERR_TAIL_LINES:]
+            raise RunError(
+                f"run process exited with status {child.returncode} without a result: {' | '.join(stderr_tail)}"
+            ) from None
+        return result
--- a/ingress/emulator/shrink.py
+++ b/ingress/emulator/shrink.py
@@ -1,4 +1,4 @@
-"""Makes an experiment that violates a rule smaller, as long as it violates the same rule."""
+"""Shrinks an experiment that violates a rule to a smaller one that still violates the same rule."""
 
 from __future__ import annotations
 
@@ -9,12 +9,13 @@
 
 from ingress.emulator.experiment import Experiment, ExperimentError, build_experiment
 
-MIN_SECONDS = 2.0  # of a play
+MIN_RUN_SECONDS = 2.0
+SECONDS_DECIMALS = 3
 MAX_PLAYS = 60
-SHORTER_SHARES = (0.5, 0.75, 0.9)  # of the time, the boldest step first
-SMALLER_SHARES = (0.5, 0.75)  # of the gateways and endpoints
+DURATION_RATIOS = (0.5, 0.75, 0.9)  # the largest reduction is tried first
+FLEET_SIZE_RATIOS = (0.5, 0.75)
 
-CountViolations = Callable[[Experiment], dict[str, int]]  # plays it, and counts violations by rule
+CountViolations = Callable[[Experiment], dict[str, int]]  # runs an experiment, and counts the violations by rule
 
 
 def shrink(
@@ -24,62 +25,65 @@
     max_plays: int = MAX_PLAYS,
     report: Callable[[str], None] | None = None,
 ) -> Experiment:
-    """The smallest experiment found that still violates a rule.
+    """Search for a smaller experiment that still violates a rule.
 
     Args:
-        experiment: violates it.
-        rule: its name.
-        count_violations: plays an experiment.
-        max_plays: bounds the search.
-        report: is called with each step that was taken.
+        experiment: The experiment that violates the rule.
+        rule: The name of the rule.
+        count_violations: Runs an experiment, and returns its violations by rule.
+        max_plays: The maximum number of runs.
+        report: The callback for each reduction that was kept.
+
+    Returns:
+        The smallest experiment found.
     """
-    plays = 0
-    while plays < max_plays:
-        for what, candidate in _smaller(experiment):
-            if plays >= max_plays:
+    run_count = 0
+    while run_count < max_plays:
+        for reduction, candidate in _smaller(experiment):
+            if run_count >= max_plays:
                 break
-            plays += 1
+            run_count += 1
             if count_violations(candidate).get(rule):
                 if report is not None:
-                    report(f"{what}: still broken")
+                    report(f"{reduction}: still violates the rule")
                 experiment = candidate
                 break
         else:
-            break  # nothing smaller violates it
+            break  # no smaller experiment violates the rule
     return experiment
 
 
 def _smaller(experiment: Experiment) -> Iterator[tuple[str, Experiment]]:
-    """Smaller experiments, the boldest step of each kind first."""
+    """Yield smaller experiments, the largest reduction of each kind first."""
     source = experiment.model_dump()
     yield from _with_fewer_faults(source)
-    for share in SHORTER_SHARES:
-        if experiment.seconds * share >= MIN_SECONDS:
-            yield from _build(f"{experiment.seconds * share:g} s", _shorter(source, experiment.seconds * share))
+    for ratio in DURATION_RATIOS:
+        if experiment.seconds * ratio >= MIN_RUN_SECONDS:
+            yield from _build(f"{experiment.seconds * ratio:g} s", _shorter(source, experiment.seconds * ratio))
     yield from _with_smaller_fleet(source)
     yield from _with_fewer_kinds(source)
 
 
 def _with_fewer_faults(source: dict[str, Any]) -> Iterator[tuple[str, Experiment]]:
-    for number, fault in enumerate(source["faults"]):
-        rest = [other for place, other in enumerate(source["faults"]) if place != number]
-        yield from _build(f"without {fault['kind']} at {fault['at']:g} s", source | {"faults": rest})
+    for fault_index, fault in enumerate(source["faults"]):
+        remaining = [other for index, other in enumerate(source["faults"]) if index != fault_index]
+        yield from _build(f"without {fault['kind']} at {fault['at']:g} s", source | {"faults": remaining})
 
 
 def _with_smaller_fleet(source: dict[str, Any]) -> Iterator[tuple[str, Experiment]]:
     for key in ("gateways", "servers"):
-        for share in SMALLER_SHARES:
-            count = int(source["fleet"][key] * share)
+        for ratio in FLEET_SIZE_RATIOS:
+            count = int(source["fleet"][key] * ratio)
             if count >= max(1, source["fleet"]["zones"]):
                 yield from _build(f"{count} {key}", source | {"fleet": source["fleet"] | {key: count}})
 
 
 def _with_fewer_kinds(source: dict[str, Any]) -> Iterator[tuple[str, Experiment]]:
     for key in ("classes", "plans"):
-        for number, kind in enumerate(source[key]):
-            rest = [other for place, other in enumerate(source[key]) if place != number]
-            if rest:
-                yield from _build(f"without {kind['name']}", source | {key: rest})
+        for kind_index, kind in enumerate(source[key]):
+            remaining = [other for index, other in enumerate(source[key]) if index != kind_index]
+            if remaining:
+                yield from _build(f"without {kind['name']}", source | {key: remaining})
 
 
 def _shorter(source: dict[str, Any], seconds: float) -> dict[str, Any]:
@@ -88,16 +92,16 @@
         for fault in source["faults"]
         if fault["at"] < seconds
     ]
-    return source | {"seconds": round(seconds, 3), "faults": faults}
+    return source | {"seconds": round(seconds, SECONDS_DECIMALS), "faults": faults}
 
 
-def _build(what: str, source: dict[str, Any]) -> Iterator[tuple[str, Experiment]]:
+def _build(reduction: str, source: dict[str, Any]) -> Iterator[tuple[str, Experiment]]:
     try:
-        yield what, build_experiment(source)
+        yield reduction, build_experiment(source)
     except ExperimentError:
-        return  # the parts no longer fit together
+        return  # the reduced experiment is not valid
 
 
 def to_toml(experiment: Experiment) -> str:
-    """The experiment as TOML, without what stands at its default."""
+    """Format an experiment as TOML, without the settings that have their default value."""
     return tomli_w.dumps(experiment.model_dump(mode="json", exclude_defaults=True))
--- a/ingress/emulator/versions.py
+++ b/ingress/emulator/versions.py
@@ -1,7 +1,7 @@
-"""Source trees of the ingress: the package as a git revision has it, with an emulator that can play it.
+"""Source trees of the ingress: the package at a git revision, together with an emulator that can run it.
 
-A revision of this package is played by this emulator.  Revisions from before the package was renamed are played by the
-last emulator of the former package, whose names of events and actions they share.
+This emulator runs revisions of this package.  Revisions from before the package was renamed are run by the last
+emulator of the former package, since they share its names of events and actions.
 """
 
 from __future__ import annotations
@@ -16,68 +16,71 @@
 
 PACKAGE = "ingress"
 FORMER_PACKAGE = "mulleinhall"
-LAST_FORMER_REVISION = "41e8d9601f589f651fc3d5354b02ea8ad1417526"  # the last one under the former package name
-EMULATOR = Path(__file__).resolve().parent
-ROOT = EMULATOR.parent.parent
+LAST_FORMER_REVISION = "41e8d9601f589f651fc3d5354b02ea8ad1417526"  # the last one with the former package name
+COMMIT_ID_PREFIX_LENGTH = 12  # in the names of source trees
+EMULATOR_FOLDER = Path(__file__).resolve().parent
+REPOSITORY_ROOT = EMULATOR_FOLDER.parent.parent
 
 
 class UnknownRevisionError(IngressError):
-    """The revision can't be laid out; the text says why."""
+    """A revision can't be laid out as a source tree; the message says why."""
 
 
 def package_of(tree: Path) -> str:
-    """The name of the package in a tree of `lay_out`."""
+    """Return the name of the package in a source tree that `lay_out` made."""
     return PACKAGE if (tree / PACKAGE).is_dir() else FORMER_PACKAGE
 
 
 def lay_out(revision: str, folder: Path) -> Path:
-    """Makes the source tree of a revision.
+    """Make the source tree of a revision.
 
     Args:
-        revision: a name that git knows; empty for the work tree itself.
-        folder: where new trees go; one that is there is used again.
+        revision: The revision in any form that git resolves to a commit; empty for the work tree itself.
+        folder: The folder for new source trees; a tree that exists there is reused.
 
     Returns:
-        A folder to start Python from: `python -m` with the name that `package_of` gives.
+        The working directory for `python -m`, with the package name that `package_of` returns.
 
     Raises:
-        NoSuchVersion: git does not know the revision, or it holds no package of ours.
+        UnknownRevisionError: Git can't resolve the revision, or it contains neither package name.
     """
     if not revision:
-        return ROOT
-    commit = _git("rev-parse", "--verify", "--quiet", "--end-of-options", f"{revision}^{{commit}}")
-    if commit.returncode:
+        return REPOSITORY_ROOT
+    parsed = _git("rev-parse", "--verify", "--quiet", "--end-of-options", f"{revision}^{{commit}}")
+    if parsed.returncode:
         raise UnknownRevisionError(f"{revision!r} is no revision of this repository")
-    name = commit.stdout.decode().strip()
-    tree = folder / name[:12]
+    commit_id = parsed.stdout.decode().strip()
+    tree = folder / commit_id[:COMMIT_ID_PREFIX_LENGTH]
     if tree.is_dir():
         return tree
-    draft = folder / f"{name[:12]}.draft"
+    draft = folder / f"{commit_id[:COMMIT_ID_PREFIX_LENGTH]}.draft"
     shutil.rmtree(draft, ignore_errors=True)
-    if not _git("cat-file", "-e", f"{name}:{PACKAGE}").returncode:
-        _extract(name, PACKAGE, draft)
-        emulator = draft / PACKAGE / EMULATOR.name
+    if not _git("cat-file", "-e", f"{commit_id}:{PACKAGE}").returncode:
+        _extract(commit_id, PACKAGE, draft)
+        emulator = draft / PACKAGE / EMULATOR_FOLDER.name
         shutil.rmtree(emulator, ignore_errors=True)
-        shutil.copytree(EMULATOR, emulator, ignore=shutil.ignore_patterns("__pycache__"))
+        shutil.copytree(EMULATOR_FOLDER, emulator, ignore=shutil.ignore_patterns("__pycache__"))
     else:
-        _extract(name, FORMER_PACKAGE, draft)
-        emulator = draft / FORMER_PACKAGE / EMULATOR.name
+        _extract(commit_id, FORMER_PACKAGE, draft)
+        emulator = draft / FORMER_PACKAGE / EMULATOR_FOLDER.name
         shutil.rmtree(emulator, ignore_errors=True)
-        _extract(LAST_FORMER_REVISION, f"{FORMER_PACKAGE}/{EMULATOR.name}", draft)
+        _extract(LAST_FORMER_REVISION, f"{FORMER_PACKAGE}/{EMULATOR_FOLDER.name}", draft)
     draft.rename(tree)
     return tree
 
 
 def _extract(revision: str, path: str, folder: Path) -> None:
-    packed = _git("archive", "--format=tar", revision, path)
-    if packed.returncode:
-        raise UnknownRevisionError(f"{revision!r} has no {path}: {packed.stderr.decode().strip()}")
-    with tarfile.open(fileobj=io.BytesIO(packed.stdout)) as archive:
+    archive_output = _git("archive", "--format=tar", revision, path)
+    if archive_output.returncode:
+        raise UnknownRevisionError(
+            f"cannot extract {path} from revision {revision!r}: {archive_output.stderr.decode().strip()}"
+        )
+    with tarfile.open(fileobj=io.BytesIO(archive_output.stdout)) as archive:
         archive.extractall(folder, filter="data")
 
 
-def _git(*words: str) -> subprocess.CompletedProcess[bytes]:
+def _git(*arguments: str) -> subprocess.CompletedProcess[bytes]:
     try:
-        return subprocess.run(["git", *words], cwd=ROOT, capture_output=True, check=False)
+        return subprocess.run(["git", *arguments], cwd=REPOSITORY_ROOT, capture_output=True, check=False)
     except OSError as error:
-        raise UnknownRevisionError(f"git: {error}") from None
+        raise UnknownRevisionError(f"cannot run git: {error}") from None
