--- a/ingress/emulator/compare.py
+++ b/ingress/emulator/compare.py
@@ -16,7 +16,7 @@
 MIN_PAIRS = 2  # a single pair says nothing about the variance between seeds
 INTERVAL_PERCENTILES = [2.5, 97.5]  # the bounds of the 95% interval
 # Each metric with its meaning, and whether a higher value is better.
-FIGURES = {
+METRICS = {
     "good": (
         "priority weight served within quotas, less the cost of usage beyond them, as a share of the weight offered",
         True,
@@ -33,7 +33,7 @@
 }
 
 
-def figures(result: dict[str, Any], first_fault: float = 0.0) -> dict[str, float]:
+def compute_metrics(result: dict[str, Any], first_fault: float = 0.0) -> dict[str, float]:
     """Compute the metrics of one run from its result."""
     exact = result["exact"]
     totals = exact["totals"]
@@ -74,7 +74,7 @@
     """The change of one metric between two versions, over the seeds that both ran.
 
     Attributes:
-        figure: The name of the metric.
+        metric: The name of the metric.
         pairs: The number of seeds that both versions ran.
         before: The mean of the metric in the first version.
         after: The mean of the metric in the second version.
@@ -84,7 +84,7 @@
         better: The number of seeds on which the second version is better.
     """
 
-    figure: str
+    metric: str
     pairs: int
     before: float
     after: float
@@ -94,7 +94,7 @@
     better: int
 
     @property
-    def told(self) -> bool:
+    def is_significant(self) -> bool:
         """Whether the 95% interval of the mean difference excludes zero."""
         return self.pairs > 1 and (self.low > 0 or self.high < 0)
 
@@ -113,23 +113,23 @@
     return (
         [
             _difference(
-                figure,
-                [before[seed][figure] for seed in seeds],
-                [after[seed][figure] for seed in seeds],
+                metric,
+                [before[seed][metric] for seed in seeds],
+                [after[seed][metric] for seed in seeds],
                 higher_is_better,
             )
-            for figure, (_, higher_is_better) in FIGURES.items()
+            for metric, (_, higher_is_better) in METRICS.items()
         ]
         if seeds
         else []
     )
 
 
-def _difference(figure: str, before: list[float], after: list[float], higher_is_better: bool) -> Difference:
+def _difference(metric: str, before: list[float], after: list[float], higher_is_better: bool) -> Difference:
     changes = [new - old for old, new in zip(before, after, strict=True)]
     low, high = interval(changes)
     return Difference(
-        figure,
+        metric,
         len(changes),
         mean(before),
         mean(after),
--- a/ingress/emulator/report.py
+++ b/ingress/emulator/report.py
@@ -12,10 +12,10 @@
 import matplotlib as mpl
 from hdrh.histogram import HdrHistogram
 
-from ingress.emulator.compare import FIGURES, compare, figures
+from ingress.emulator.compare import METRICS, compare, compute_metrics
 from ingress.emulator.experiment import Experiment, load_experiment
 from ingress.emulator.measure import decode_histogram, new_histogram
-from ingress.emulator.results import EXPERIMENT, PLAYS, ResultsError, read_plays
+from ingress.emulator.results import EXPERIMENT_FILE, RUNS_FILE, ResultsError, read_runs
 
 mpl.use("Agg")
 from matplotlib import pyplot as plt
@@ -40,17 +40,17 @@
         ResultsError: The results can't be read, or contain no run.
         ExperimentError: The description of the experiment can't be read, or is not valid.
     """
-    experiment = load_experiment(folder / EXPERIMENT)
-    rows = read_plays(folder / PLAYS)
+    experiment = load_experiment(folder / EXPERIMENT_FILE)
+    rows = read_runs(folder / RUNS_FILE)
     if not rows:
-        raise ResultsError(f"{folder / PLAYS} holds no play")
+        raise ResultsError(f"{folder / RUNS_FILE} holds no play")
     first_fault = min((fault.at for fault in experiment.faults), default=0.0)
     names = [version.name for version in experiment.versions]
     by_version = {name: [row for row in rows if row["version"] == name] for name in names}
     by_version = {name: version_rows for name, version_rows in by_version.items() if version_rows}
     plots = _plots(folder, experiment, by_version)
     measured = {
-        name: {row["seed"]: figures(row["result"], first_fault) for row in version_rows}
+        name: {row["seed"]: compute_metrics(row["result"], first_fault) for row in version_rows}
         for name, version_rows in by_version.items()
     }
     base, *others = measured
@@ -61,15 +61,15 @@
             experiment=experiment,
             first_fault=first_fault,
             plots=plots,
-            meanings=FIGURES,
+            meanings=METRICS,
             means={
-                name: {key: mean(run[key] for run in runs.values()) for key in FIGURES}
+                name: {key: mean(run[key] for run in runs.values()) for key in METRICS}
                 for name, runs in measured.items()
             },
             ranges={
                 name: {
                     key: (min(run[key] for run in runs.values()), max(run[key] for run in runs.values()))
-                    for key in FIGURES
+                    for key in METRICS
                 }
                 for name, runs in measured.items()
             },
--- a/ingress/emulator/results.py
+++ b/ingress/emulator/results.py
@@ -14,8 +14,8 @@
 from ingress.emulator.shrink import to_toml
 from ingress.errors import IngressError
 
-PLAYS = "plays.jsonl"
-EXPERIMENT = "experiment.toml"
+RUNS_FILE = "plays.jsonl"
+EXPERIMENT_FILE = "experiment.toml"
 
 
 class ResultsError(IngressError):
@@ -35,11 +35,11 @@
     def __init__(self, folder: Path, experiment: Experiment) -> None:
         folder = folder.resolve()  # a run has the source tree of its version as its working directory
         self.folder = folder
-        self.path = folder / PLAYS
+        self.path = folder / RUNS_FILE
         folder.mkdir(parents=True, exist_ok=True)
-        (folder / EXPERIMENT).write_text(to_toml(experiment), encoding="utf-8")
+        (folder / EXPERIMENT_FILE).write_text(to_toml(experiment), encoding="utf-8")
         self.digest = experiment.digest()
-        self.rows = read_plays(self.path) if self.path.exists() else []
+        self.rows = read_runs(self.path) if self.path.exists() else []
         self._reject_other_experiments()
         self._rewrite_without_stale_lines()
 
@@ -71,7 +71,7 @@
             os.fsync(file.fileno())
 
 
-def read_plays(path: Path) -> list[dict[str, Any]]:
+def read_runs(path: Path) -> list[dict[str, Any]]:
     """Read the runs in a file: the last one of each version and seed; a truncated last line is ignored.
 
     Raises:
--- a/ingress/emulator/runner.py
+++ b/ingress/emulator/runner.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from ingress.emulator.experiment import Experiment
-from ingress.emulator.results import EXPERIMENT, Results
+from ingress.emulator.results import EXPERIMENT_FILE, Results
 from ingress.emulator.versions import lay_out, package_of
 from ingress.errors import IngressError
 
@@ -119,7 +119,7 @@
             sys.executable,
             "-m",
             f"{package_of(task.tree)}.emulator.play",
-            str(self.results.folder / EXPERIMENT),
+            str(self.results.folder / EXPERIMENT_FILE),
             str(task.seed),
             str(self.results.folder),
             task.version,
--- a/ingress/ingressctl/experiments.py
+++ b/ingress/ingressctl/experiments.py
@@ -16,7 +16,7 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn, TimeRemainingColumn
 from rich.table import Table
 
-from ingress.emulator.compare import FIGURES, compare, figures
+from ingress.emulator.compare import METRICS, compare, compute_metrics
 from ingress.emulator.experiment import Experiment, ExperimentError, load_experiment
 from ingress.emulator.results import Results, ResultsError
 from ingress.emulator.runner import Runner, Task
@@ -64,7 +64,7 @@
     if as_json:
         click.echo(json.dumps(result))
     else:
-        show_metrics({f"seed {seed}": figures(result, _first_fault(experiment))})
+        show_metrics({f"seed {seed}": compute_metrics(result, _first_fault(experiment))})
         show_violations(Counter(result["exact"]["broken"]))
     if not result["exact"]["whole"]:
         sys.exit(Status.INTERRUPTED)
@@ -151,12 +151,12 @@
     measured: dict[str, dict[int, dict[str, float]]] = {version.name: {} for version in spec.versions}
     broken: Counter[str] = Counter()
     for row in results.rows:
-        measured[row["version"]][row["seed"]] = figures(row["result"], _first_fault(spec))
+        measured[row["version"]][row["seed"]] = compute_metrics(row["result"], _first_fault(spec))
         broken.update(row["result"]["exact"]["broken"])
     measured = {name: runs for name, runs in measured.items() if runs}
     show_metrics(
         {
-            f"{name} ({len(runs)})": {key: sum(run[key] for run in runs.values()) / len(runs) for key in FIGURES}
+            f"{name} ({len(runs)})": {key: sum(run[key] for run in runs.values()) / len(runs) for key in METRICS}
             for name, runs in measured.items()
         }
     )
@@ -173,7 +173,7 @@
         )
         for difference in compare(measured[baseline], measured[name]):
             table.add_row(
-                difference.figure,
+                difference.metric,
                 f"{difference.before:.4g}",
                 f"{difference.after:.4g}",
                 f"{difference.after - difference.before:+.4g}",
--- a/ingress/ingressctl/output.py
+++ b/ingress/ingressctl/output.py
@@ -13,7 +13,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from ingress.emulator.compare import FIGURES
+from ingress.emulator.compare import METRICS
 
 out = Console()
 err = Console(stderr=True)
@@ -53,7 +53,7 @@
 def show_metrics(columns: dict[str, dict[str, float]]) -> None:
     """Print a table of metrics with one column per run or version."""
     table = Table("metric", *columns, "meaning")
-    for key, (meaning, _) in FIGURES.items():
+    for key, (meaning, _) in METRICS.items():
         table.add_row(key, *(f"{column[key]:.4g}" for column in columns.values()), meaning)
     out.print(table)
 
--- a/tests/test_ingressctl.py
+++ b/tests/test_ingressctl.py
@@ -22,7 +22,7 @@
 from ingress.emulator.experiment import build_experiment, load_experiment
 from ingress.emulator.measure import Latencies, decode_histogram, encode_histogram
 from ingress.emulator.report import make_report, merge
-from ingress.emulator.results import PLAYS, Results, ResultsError, read_plays
+from ingress.emulator.results import RUNS_FILE, Results, ResultsError, read_runs
 from ingress.emulator.shrink import to_toml
 from ingress.emulator.versions import LAST_FORMER_REVISION, UnknownRevisionError, lay_out, package_of
 from ingress.ingressctl import main as cli
@@ -110,13 +110,13 @@
     assert "two beside one, paired by seed" in page and "No rule was broken" in page
     for name in ("latency", "refusals-one", "states-two", "answers-one", "ends-two"):
         assert (folder / f"{name}.png").read_bytes().startswith(b"\x89PNG")
-    rows = read_plays(folder / PLAYS)
+    rows = read_runs(folder / RUNS_FILE)
     assert {(row["version"], row["seed"]) for row in rows} == {("one", 1), ("one", 2), ("two", 1), ("two", 2)}
     by_seed = {(row["version"], row["seed"]): row["result"]["exact"] for row in rows}
     assert by_seed["one", 1] == by_seed["two", 1]  # the same code and seed give the same run
-    before = (folder / PLAYS).read_bytes()
+    before = (folder / RUNS_FILE).read_bytes()
     assert ingressctl("experiment", str(path), "--to", str(folder), "--quiet").exit_code == 0
-    assert (folder / PLAYS).read_bytes() == before  # no run was missing
+    assert (folder / RUNS_FILE).read_bytes() == before  # no run was missing
     assert ingressctl("report", str(folder)).exit_code == 0
 
 
@@ -137,12 +137,12 @@
     ]
     process = subprocess.Popen(arguments, cwd=ROOT, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
     limit = time.monotonic() + 60
-    while not (folder / PLAYS).exists() or (folder / PLAYS).read_text().count("\n") < 2:
+    while not (folder / RUNS_FILE).exists() or (folder / RUNS_FILE).read_text().count("\n") < 2:
         assert time.monotonic() < limit
         time.sleep(0.02)
     process.send_signal(signal.SIGINT)
     assert process.wait(60) == 130
-    kept = read_plays(folder / PLAYS)
+    kept = read_runs(folder / RUNS_FILE)
     assert 2 <= len(kept) < 199
     assert (folder / "report.html").exists()
     complete_seeds = [row["seed"] for row in kept if row["result"]["exact"]["whole"]]
@@ -155,7 +155,7 @@
     results = Results(tmp_path, experiment)
     for seed in (1, 2):
         results.add("now", seed, {"exact": {"whole": True}})
-    path = tmp_path / PLAYS
+    path = tmp_path / RUNS_FILE
     complete = path.read_bytes()
     for cut in range(1, 40, 7):
         path.write_bytes(complete[:-cut])
@@ -188,7 +188,7 @@
     path = write_experiment(tmp_path, seeds=[1], versions=versions)
     found = ingressctl("experiment", str(path), "--to", str(tmp_path / "out"), "--quiet")
     assert found.exit_code == 0, found.output
-    results = {row["version"]: row["result"]["exact"] for row in read_plays(tmp_path / "out" / PLAYS)}
+    results = {row["version"]: row["result"]["exact"] for row in read_runs(tmp_path / "out" / RUNS_FILE)}
     assert results["now"] == results["former"]
     assert all(results[name]["totals"]["served"] > 0 for name in revisions)
 
@@ -198,7 +198,7 @@
     monkeypatch.chdir(tmp_path)
     found = ingressctl("experiment", "small.toml", "--to", "out", "--quiet")
     assert found.exit_code == 0, found.output
-    assert {row["version"] for row in read_plays(tmp_path / "out" / PLAYS)} == {"head", "now"}
+    assert {row["version"] for row in read_runs(tmp_path / "out" / RUNS_FILE)} == {"head", "now"}
 
 
 def test_an_experiment_with_an_unknown_revision_is_invalid_input(tmp_path: Path) -> None:
@@ -230,9 +230,9 @@
     base = {seed: dict.fromkeys(keys, float(seed)) for seed in range(10)}
     better = {seed: {key: value + 1 for key, value in row.items()} for seed, row in base.items()}
     mixed = {seed: {key: value + (-1) ** seed for key, value in row.items()} for seed, row in base.items()}
-    told = {one.figure: one for one in compare(base, better)}
-    assert told["good"].told and told["good"].better == 10 and told["p99_ms"].better == 0
-    assert not any(one.told for one in compare(base, mixed))
+    told = {one.metric: one for one in compare(base, better)}
+    assert told["good"].is_significant and told["good"].better == 10 and told["p99_ms"].better == 0
+    assert not any(one.is_significant for one in compare(base, mixed))
     assert compare(base, {99: base[1]}) == []
     low, high = interval([1.0, 2.0, 3.0])
     assert 1.0 <= low < 2.0 < high <= 3.0
@@ -263,6 +263,6 @@
 
 def test_a_report_needs_results(tmp_path: Path) -> None:
     Results(tmp_path, build_experiment(SMALL_EXPERIMENT))
-    (tmp_path / PLAYS).write_text("", encoding="utf-8")
+    (tmp_path / RUNS_FILE).write_text("", encoding="utf-8")
     with pytest.raises(ResultsError, match="no play"):
         make_report(tmp_path)
