--- a/ingress/emulator/report.py
+++ b/ingress/emulator/report.py
@@ -43,7 +43,7 @@
     experiment = load_experiment(folder / EXPERIMENT_FILE)
     rows = read_runs(folder / RUNS_FILE)
     if not rows:
-        raise ResultsError(f"{folder / RUNS_FILE} holds no play")
+        raise ResultsError(f"{folder / RUNS_FILE} contains no runs")
     first_fault = min((fault.at for fault in experiment.faults), default=0.0)
     names = [version.name for version in experiment.versions]
     by_version = {name: [row for row in rows if row["version"] == name] for name in names}
--- a/ingress/emulator/versions.py
+++ b/ingress/emulator/versions.py
@@ -48,7 +48,7 @@
         return REPOSITORY_ROOT
     parsed = _git("rev-parse", "--verify", "--quiet", "--end-of-options", f"{revision}^{{commit}}")
     if parsed.returncode:
-        raise UnknownRevisionError(f"{revision!r} is no revision of this repository")
+        raise UnknownRevisionError(f"{revision!r} is not a revision of this repository")
     commit_id = parsed.stdout.decode().strip()
     tree = folder / commit_id[:COMMIT_ID_PREFIX_LENGTH]
     if tree.is_dir():
--- a/tests/test_ingressctl.py
+++ b/tests/test_ingressctl.py
@@ -107,7 +107,7 @@
     assert found.exit_code == 0, found.output
     assert "two beside one" in found.output
     page = (folder / "report.html").read_text(encoding="utf-8")
-    assert "two beside one, paired by seed" in page and "No rule was broken" in page
+    assert "two compared with one, paired by seed" in page and "No rule was broken" in page
     for name in ("latency", "refusals-one", "states-two", "answers-one", "ends-two"):
         assert (folder / f"{name}.png").read_bytes().startswith(b"\x89PNG")
     rows = read_runs(folder / RUNS_FILE)
@@ -170,7 +170,7 @@
 
 def test_a_version_combines_the_package_of_its_revision_with_this_emulator(tmp_path: Path) -> None:
     assert lay_out("", tmp_path) == ROOT
-    with pytest.raises(UnknownRevisionError, match="no revision"):
+    with pytest.raises(UnknownRevisionError, match="is not a revision"):
         lay_out("no-such-revision", tmp_path)
     tree = lay_out("HEAD", tmp_path)
     assert (tree / "ingress" / "decisions" / "gateway.py").exists() and package_of(tree) == "ingress"
@@ -264,5 +264,5 @@
 def test_a_report_needs_results(tmp_path: Path) -> None:
     Results(tmp_path, build_experiment(SMALL_EXPERIMENT))
     (tmp_path / RUNS_FILE).write_text("", encoding="utf-8")
-    with pytest.raises(ResultsError, match="no play"):
+    with pytest.raises(ResultsError, match="contains no runs"):
         make_report(tmp_path)
