--- a/tests/test_power.py
+++ b/tests/test_power.py
@@ -55,7 +55,10 @@
     store.base.execute("INSERT OR REPLACE INTO entries VALUES (?, ?, ?, ?)", old_row)
     served_version = store.version
     store.close()
-    assert any("entries of different list versions are mixed" in fault for fault in store_module.store_faults(tmp_path / "list" / "list.db"))
+    assert any(
+        "entries of different list versions are mixed" in fault
+        for fault in store_module.store_faults(tmp_path / "list" / "list.db")
+    )
     reopened = Store(tmp_path / "list")
     assert (
         reopened.rows == []
