--- a/ingress/emulator/faults.py
+++ b/ingress/emulator/faults.py
@@ -1,4 +1,4 @@
-"""Timed faults in simulated time, one function a kind."""
+"""Scheduling of the timed faults of an experiment, one function for each kind of fault."""
 
 from __future__ import annotations
 
@@ -11,26 +11,30 @@
 if TYPE_CHECKING:
     from ingress.emulator.testbed import Testbed
 
-RESTART_DELAY_S = 0.3  # s from the end of a rolled gateway to its next start
-DRAIN_TIMEOUT_S = 3.7  # s from SIGTERM to SIGKILL: the longest deadline that counts, and 0.7 s
+RESTART_DELAY_S = 0.3  # From the end of a rolled gateway to the start of its next process.
+DRAIN_TIMEOUT_S = 3.7  # From SIGTERM to SIGKILL: the longest deadline that counts, and 0.7 s.
 
 
 @singledispatch
 def schedule(fault: spec.TimedFault, _testbed: Testbed) -> None:
-    """Puts a fault on the clock of the testbed.  All its draws are made now: they hang on no decision."""
-    raise TypeError(f"no such fault: {fault!r}")
+    """Schedule a fault on the clock of the testbed.
+
+    All its random draws are made now, so that they don't depend on the decisions of the gateways.
+    """
+    raise TypeError(f"can't schedule a fault of an unknown kind: {fault!r}")
 
 
 def _gateways(testbed: Testbed, share: float) -> list[int]:
     count = testbed.experiment.fleet.gateways
-    return testbed.random["faults"].sample(count, max(1, round(share * count)) if share else 0)
+    chosen_count = max(1, round(share * count)) if share else 0
+    return testbed.random["faults"].sample(count, chosen_count)
 
 
 def _servers(testbed: Testbed, share: float) -> list[ServerModel]:
-    every = list(testbed.servers.values())[: testbed.experiment.fleet.servers]
-    return [
-        every[n] for n in testbed.random["faults"].sample(len(every), max(1, round(share * len(every))) if share else 0)
-    ]
+    initial_servers = list(testbed.servers.values())[: testbed.experiment.fleet.servers]
+    count = len(initial_servers)
+    chosen_count = max(1, round(share * count)) if share else 0
+    return [initial_servers[number] for number in testbed.random["faults"].sample(count, chosen_count)]
 
 
 @schedule.register(spec.KillGateways)
@@ -61,8 +65,8 @@
 @schedule.register(spec.RollServers)
 def _(fault: spec.RollServers, testbed: Testbed) -> None:
     chosen = _servers(testbed, fault.share)
-    for place, server in enumerate(chosen):
-        at = fault.at + fault.lasts * (place * fault.steps // len(chosen)) / fault.steps
+    for index, server in enumerate(chosen):
+        at = fault.at + fault.lasts * (index * fault.steps // len(chosen)) / fault.steps
         testbed.kernel.at(at, testbed.replace_server, server, fault.warning_s)
 
 
@@ -95,12 +99,12 @@
 @schedule.register(spec.SpoilServers)
 def _(fault: spec.SpoilServers, testbed: Testbed) -> None:
     for server in _servers(testbed, fault.share):
-        testbed.kernel.at(fault.at, _spoil, server, Defect(fault.mode, fault.rate, fault.factor))
-        testbed.kernel.at(fault.at + fault.lasts, _spoil, server, None)
+        testbed.kernel.at(fault.at, _set_defect, server, Defect(fault.mode, fault.rate, fault.factor))
+        testbed.kernel.at(fault.at + fault.lasts, _set_defect, server, None)
 
 
-def _spoil(server: ServerModel, spoilt: Defect | None) -> None:
-    server.defect = spoilt
+def _set_defect(server: ServerModel, defect: Defect | None) -> None:
+    server.defect = defect
 
 
 @schedule.register(spec.Reload)
@@ -117,10 +121,10 @@
 
 @schedule.register(spec.DiscoveryDown)
 def _(fault: spec.DiscoveryDown, testbed: Testbed) -> None:
-    testbed.kernel.at(fault.at, _down, testbed, fault.at + fault.lasts)
+    testbed.kernel.at(fault.at, _set_discovery_down, testbed, fault.at + fault.lasts)
 
 
-def _down(testbed: Testbed, until: float) -> None:
+def _set_discovery_down(testbed: Testbed, until: float) -> None:
     testbed.discovery.down_until = max(testbed.discovery.down_until, until)
 
 
@@ -132,10 +136,10 @@
 @schedule.register(spec.Lossy)
 def _(fault: spec.Lossy, testbed: Testbed) -> None:
     network = testbed.network
-    testbed.kernel.at(fault.at, _lossy, testbed, fault.loss, fault.reset)
-    testbed.kernel.at(fault.at + fault.lasts, _lossy, testbed, network.spec.loss, network.spec.reset)
+    testbed.kernel.at(fault.at, _set_loss, testbed, fault.loss, fault.reset)
+    testbed.kernel.at(fault.at + fault.lasts, _set_loss, testbed, network.spec.loss, network.spec.reset)
 
 
-def _lossy(testbed: Testbed, loss: float, reset: float) -> None:
+def _set_loss(testbed: Testbed, loss: float, reset: float) -> None:
     testbed.network.loss_rate = loss
     testbed.network.reset_rate = reset
--- a/ingress/emulator/gateways.py
+++ b/ingress/emulator/gateways.py
@@ -1,4 +1,4 @@
-"""A gateway in simulated time: feeds the real decision module, carries out what it says, owes the clients."""
+"""Simulated gateways: pass events to the real decision module, and carry out its actions on the simulated network."""
 
 from __future__ import annotations
 
@@ -44,11 +44,13 @@
 from ingress.emulator.rules import RequestRecord, RuleChecker, is_leaving
 from ingress.emulator.servers import ServerModel
 
-DEADLINE_MARGIN_S = 0.020  # s before the client's time is up: when the module's time is up, as in the real ingress
-IDLE_TIMEOUT_RATIO = 0.6  # of the time after which a server closes an idle connection: ours goes before
-IDLE_SWEEP_INTERVAL_S = 2.0  # s between looks for idle connections
-HEALTH_CHECK_WORK_S = 0.0003  # s on a core
-# Names under which results count actions that change nothing here; results of earlier builds have them too.
+# The decision module's deadline precedes the client's by this time, as in the real ingress.
+DEADLINE_MARGIN_S = 0.020
+# A gateway closes idle connections at this share of the server's idle timeout, so that it closes before the server.
+IDLE_TIMEOUT_RATIO = 0.6
+IDLE_SWEEP_INTERVAL_S = 2.0
+HEALTH_CHECK_WORK_S = 0.0003  # Time on a core that the server spends on a health check.
+# Counter names of actions that have no effect in simulated time.  Results of earlier builds use the same names.
 ACTION_COUNTER_NAMES = {
     LogMessage: "Log",
     CloseIdleClients: "LetGo",
@@ -61,57 +63,73 @@
 
 
 class DecisionModule(Protocol):
-    """What the emulator needs of `ingress.decisions.gateway.Gateway`."""
+    """The part of `ingress.decisions.gateway.Gateway` that the emulator uses."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Takes an event at a time (s) and gives the actions."""
+        """Handle an event at the time `now` (s), and return the resulting actions."""
 
 
 GatewayFactory = Callable[[Settings, int], DecisionModule]
 
 
 class LoadBalancer(Protocol):
-    """Who hears how a try ended."""
+    """The side of the clients, which is notified of the results of their requests."""
 
-    def request_served(self, held: PendingRequest) -> None:
-        """The request was served."""
+    def request_served(self, request: PendingRequest) -> None:
+        """Account for a request that was served."""
 
-    def request_rejected(self, held: PendingRequest, wait: float, reason: str) -> None:
-        """The request was rejected; its client may come again after `wait` s."""
+    def request_rejected(self, request: PendingRequest, retry_after: float, reason: str) -> None:
+        """Account for a rejected request, whose client may retry after `retry_after` s."""
 
-    def request_failed(self, held: PendingRequest, reason: str) -> None:
-        """The request failed."""
+    def request_failed(self, request: PendingRequest, reason: str) -> None:
+        """Account for a failed request."""
 
-    def connection_lost(self, held: PendingRequest) -> None:
-        """The connection of the request ended without an answer."""
+    def connection_lost(self, request: PendingRequest) -> None:
+        """Account for a request whose connection ended without an answer."""
 
-    def attempt_arrived(self, held: PendingRequest) -> None:
-        """The first attempt of the request has reached an endpoint."""
+    def attempt_arrived(self, request: PendingRequest) -> None:
+        """Account for a request whose first attempt has reached an endpoint."""
 
 
 class RequestTarget(Protocol):
-    """A gateway, as the front and the clients see it."""
+    """A gateway as the load balancer and the clients see it.
+
+    Attributes:
+        incarnation: A number that changes with each start and kill of its process, and tells its processes apart.
+        up: Whether its process runs.
+    """
 
     incarnation: int
     up: bool
 
-    def submit(self, held: PendingRequest, event: RequestReceived) -> None:
-        """Receives a request."""
+    def submit(self, request: PendingRequest, event: RequestReceived) -> None:
+        """Receive a request."""
 
-    def client_disconnected(self, held: PendingRequest) -> None:
-        """The client of the request has gone."""
+    def client_disconnected(self, request: PendingRequest) -> None:
+        """Handle the disconnection of the client that waits for the request."""
 
 
 class PendingRequest:
-    """A try that a gateway has taken."""
+    """One submission of a request to a gateway, until it is answered.
+
+    Attributes:
+        gateway: The gateway that received it.
+        record: The request as the rule checker sees it.
+        work: The work of an attempt, in seconds on a core of nominal speed.
+        intent: The `RequestIntent` of the client, if a `ClientPopulation` submitted it.
+        answered: Whether it has a final answer, or no answer is expected any more.
+        is_disconnected: Whether its client has disconnected.
+        attempt_count: The number of attempts that the decision module has started.
+        open_attempts: The attempts without an outcome, by number.
+    """
 
     __slots__ = ("answered", "attempt_count", "gateway", "intent", "is_disconnected", "open_attempts", "record", "work")
 
-    def __init__(self, gateway: RequestTarget, record: RequestRecord, work: float, wish: object) -> None:
+    def __init__(self, gateway: RequestTarget, record: RequestRecord, work: float, intent: object) -> None:
         self.gateway = gateway
         self.record = record
         self.work = work
-        self.intent = wish
+        self.intent = intent
         self.answered = False
         self.is_disconnected = False
         self.attempt_count = 0
@@ -119,7 +137,22 @@
 
 
 class Attempt:
-    """One attempt, seen by its gateway and its server."""
+    """One attempt of a request, shared by its gateway and its server.
+
+    Attributes:
+        host: The gateway that sends it.
+        request: The request that it belongs to.
+        number: Its index among the attempts of the request.
+        server: The server that it goes to.
+        started_at: When the gateway started it (s).
+        expires_at: When the gateway abandons it (s).
+        gateway_incarnation: The incarnation of the gateway that sent it.
+        server_incarnation: The incarnation of the server that it was sent to.
+        work: Its work, in seconds on a core of nominal speed.
+        is_abandoned: Whether the gateway no longer waits for its outcome.
+        is_ended: Whether its outcome is decided.
+        is_written: Whether it was written to a connection.
+    """
 
     __slots__ = (
         "expires_at",
@@ -137,39 +170,45 @@
     )
 
     def __init__(
-        self, host: GatewayHost, held: PendingRequest, number: int, server: ServerModel, sent: float, expires: float
+        self,
+        host: GatewayHost,
+        request: PendingRequest,
+        number: int,
+        server: ServerModel,
+        started_at: float,
+        expires_at: float,
     ) -> None:
         self.host = host
-        self.request = held
+        self.request = request
         self.number = number
         self.server = server
-        self.started_at = sent
-        self.expires_at = expires
+        self.started_at = started_at
+        self.expires_at = expires_at
         self.gateway_incarnation = host.incarnation
         self.server_incarnation = server.incarnation
-        self.work = held.work
+        self.work = request.work
         self.is_abandoned = False
         self.is_ended = False
         self.is_written = False
 
     def complete(self, outcome: Outcome) -> None:
-        """The server answers; the network brings it, or not."""
+        """Send the outcome from the server to the gateway over the simulated network."""
         self.host.deliver_outcome(self, outcome)
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayEnvironment:
-    """What all gateways of a play share.
+    """The objects that all gateways of a run share.
 
     Attributes:
-        kernel: the clock.
-        fleet: what the experiment says of gateways and endpoints.
-        network: the way to the endpoints.
-        servers: the endpoints, by id.
-        rules: checks what the gateways do.
-        spec: the limits of the rules.
-        record: counts what happens.
-        make: makes the decisions of a gateway.
+        kernel: The simulated clock.
+        fleet: The settings of gateways and endpoints in the experiment.
+        network: The simulated network.
+        servers: The endpoints, by ID.
+        rules: The checker of the gateways' behaviour.
+        limits: The limits of the rules.
+        recorder: The counters and latencies of the run.
+        gateway_factory: Creates the decision module of a gateway from its settings and a seed.
     """
 
     kernel: Clock
@@ -186,32 +225,35 @@
     """One gateway of the fleet.
 
     Attributes:
-        zone: where it runs.
-        front: the load balancer, with the clients behind it.
-        fell: is called with an endpoint that collapsed while it warmed up.
-        life: counts its starts.
-        up: its process runs.
-        paused: its process is stopped.
-        welcome: it tells the load balancer to send requests.
-        module: its decisions.
-        held: requests that it owes an answer.
-        idle: connections by endpoint: idle since, and the incarnation that they belong to.
-        known: the endpoint list as it has it.
-        leaving: when it was notified that an endpoint leaves.
-        starts: the latest start of each endpoint that it was notified of.
-        backlog: calls that wait until it goes on.
-        waiting: open attempts, by endpoint.
+        number: Its index in the fleet.
+        zone: The zone in which it runs.
+        load_balancer: The load balancer, with the clients behind it.
+        on_collapse: Called with an endpoint that collapsed under overload while it warmed up.
+        incarnation: The number of starts and kills of its process, which tells its processes apart.
+        up: Whether its process runs.
+        paused: Whether its process is stopped, as by SIGSTOP.
+        is_ready: Whether it reports itself ready to the load balancer.
+        decisions: Its decision module.
+        pending: The requests without a final answer, by ID.
+        idle: The idle connections by endpoint: the time since which each is idle, and the endpoint's incarnation.
+        known_endpoints: The endpoint list as it last received it.
+        leaving_since: When it was first notified that an endpoint drains or is removed, by endpoint.
+        endpoint_starts: The latest start that it was notified of, by endpoint.
+        events: The events that wait for the decision module.
+        deferred_calls: The calls that wait until the paused process resumes.
+        is_handling: Whether the decision module handles an event.
+        open_attempts: The attempts without an outcome, by endpoint.
     """
 
-    def __init__(self, surroundings: GatewayEnvironment, number: int) -> None:
-        self.kernel = surroundings.kernel
-        self.fleet = surroundings.fleet
-        self.network = surroundings.network
-        self.servers = surroundings.servers
-        self.rules = surroundings.rules
-        self.limits = surroundings.limits
-        self.recorder = surroundings.recorder
-        self.gateway_factory = surroundings.gateway_factory
+    def __init__(self, environment: GatewayEnvironment, number: int) -> None:
+        self.kernel = environment.kernel
+        self.fleet = environment.fleet
+        self.network = environment.network
+        self.servers = environment.servers
+        self.rules = environment.rules
+        self.limits = environment.limits
+        self.recorder = environment.recorder
+        self.gateway_factory = environment.gateway_factory
         self.number = number
         self.zone = number % self.fleet.zones
         self.load_balancer: LoadBalancer
@@ -231,10 +273,10 @@
         self.is_handling = False
         self.open_attempts: dict[str, dict[Attempt, None]] = {}
 
-    # Life
+    # Process lifecycle
 
     def start(self, settings: Settings, seed: int) -> None:
-        """A new process: its decisions begin from nothing, with the list as it was known."""
+        """Start a new process, with a new decision module and the endpoint list of the previous process."""
         self.incarnation += 1
         self.up = True
         self.paused = False
@@ -244,63 +286,63 @@
         self.kernel.after(IDLE_SWEEP_INTERVAL_S, self._sweep_idle, self.incarnation)
 
     def kill(self) -> None:
-        """Dies at once: connections to servers end, clients see theirs reset."""
+        """End the process at once: close its connections to servers, and reset those of clients."""
         self.incarnation += 1
         self.up = False
         self.decisions = None
         self.is_handling = False
         self.events.clear()
         self.deferred_calls.clear()
-        for name, kept in self.idle.items():
-            self._remove_connections(
-                self.servers[name], sum(epoch == self.servers[name].incarnation for _, epoch in kept)
-            )
+        for name, connections in self.idle.items():
+            server = self.servers[name]
+            self._remove_connections(server, sum(incarnation == server.incarnation for _, incarnation in connections))
         self.idle.clear()
         for attempts in self.open_attempts.values():
             for attempt in attempts:
-                attempt.is_ended = attempt.is_abandoned = True
+                attempt.is_ended = True
+                attempt.is_abandoned = True
                 if attempt.is_written and attempt.server_incarnation == attempt.server.incarnation:
                     self._remove_connections(attempt.server, 1)
         self.open_attempts.clear()
-        held = self.pending
+        requests = self.pending
         self.pending = {}
-        for one in held.values():
-            one.record.is_closed = True
-            if not one.answered:
-                one.answered = True
-                one.record.is_exempt = True
-                self.load_balancer.connection_lost(one)
+        for request in requests.values():
+            request.record.is_closed = True
+            if not request.answered:
+                request.answered = True
+                request.record.is_exempt = True
+                self.load_balancer.connection_lost(request)
 
     def pause(self) -> None:
-        """Stops the process as SIGSTOP does; what it holds meanwhile is excused from its time."""
+        """Stop the process as SIGSTOP does, and exempt its pending requests from their deadlines."""
         self.paused = True
-        for one in self.pending.values():
-            one.record.is_exempt = True
+        for request in self.pending.values():
+            request.record.is_exempt = True
 
     def resume(self) -> None:
-        """Goes on as after SIGCONT: what came meanwhile is handled now."""
+        """Continue the process as SIGCONT does, and make the calls that were deferred meanwhile."""
         self.paused = False
-        backlog = self.deferred_calls
+        calls = self.deferred_calls
         self.deferred_calls = []
-        for call, args in backlog:
+        for call, args in calls:
             call(*args)
 
     def _defer_if_paused(self, call: Callable[..., None], *args: object) -> bool:
-        """Whether the process is stopped, so that this waits."""
+        """Defer the call if the process is paused, and report whether it was deferred."""
         if self.paused:
             self.deferred_calls.append((call, args))
         return self.paused
 
-    # What reaches it
+    # Messages from discovery and clients
 
     def endpoints_changed(self, event: EndpointsChanged) -> None:
-        """Takes a message of discovery."""
+        """Apply a message of discovery."""
         if not self.up or self._defer_if_paused(self.endpoints_changed, event):
             return
         now = self.kernel.now
-        named = {entry.id for entry in event.endpoints}
+        listed_ids = {entry.id for entry in event.endpoints}
         if event.kind is EndpointListKind.REPLACE:
-            for name in [name for name in self.known_endpoints if name not in named]:
+            for name in [name for name in self.known_endpoints if name not in listed_ids]:
                 del self.known_endpoints[name]
                 self.leaving_since.setdefault(name, now)
         for entry in event.endpoints:
@@ -315,41 +357,41 @@
             self.endpoint_starts[entry.id] = entry.started_at
         self.handle_event(event)
 
-    def submit(self, held: PendingRequest, event: RequestReceived) -> None:
-        """A client's try is here whole."""
-        if self._defer_if_paused(self.submit, held, event):
-            held.record.is_exempt = True
+    def submit(self, request: PendingRequest, event: RequestReceived) -> None:
+        """Receive a complete request from a client."""
+        if self._defer_if_paused(self.submit, request, event):
+            request.record.is_exempt = True
             return
-        if not self.up or held.is_disconnected:
+        if not self.up or request.is_disconnected:
             return
-        self.pending[held.record.id] = held
-        self.kernel.at(held.record.deadline + self.limits.answer_slack_s, self._check_deadline, held)
+        self.pending[request.record.id] = request
+        self.kernel.at(request.record.deadline + self.limits.answer_slack_s, self._check_deadline, request)
         self.handle_event(event)
 
-    def client_disconnected(self, held: PendingRequest) -> None:
-        """Its client goes."""
-        held.is_disconnected = True
-        if self._defer_if_paused(self.client_disconnected, held) or not self.up or held.answered:
+    def client_disconnected(self, request: PendingRequest) -> None:
+        """Cancel the request after its client disconnected."""
+        request.is_disconnected = True
+        if self._defer_if_paused(self.client_disconnected, request) or not self.up or request.answered:
             return
-        held.answered = True
-        held.record.is_exempt = True
-        held.record.is_closed = True
-        self.handle_event(ClientDisconnected(held.record.id))
-        self.pending.pop(held.record.id, None)
+        request.answered = True
+        request.record.is_exempt = True
+        request.record.is_closed = True
+        self.handle_event(ClientDisconnected(request.record.id))
+        self.pending.pop(request.record.id, None)
 
     def health_counts(self) -> dict[str, int]:
-        """How many servers it holds to be in which state; none of a module that does not tell."""
+        """Return the number of servers in each health state; empty for a module that does not report it."""
         health: dict[str, int] = getattr(self.decisions, "health", dict)()
         return {key: count for key, count in health.items() if key.startswith("health.")}
 
-    def _check_deadline(self, held: PendingRequest) -> None:
+    def _check_deadline(self, request: PendingRequest) -> None:
         if self.up:
-            self.rules.check_deadline(self.kernel.now, held.record)
+            self.rules.check_deadline(self.kernel.now, request.record)
 
-    # The module
+    # Decision module
 
     def handle_event(self, event: Event) -> None:
-        """Hands an event to the module; one that comes up meanwhile waits for its turn."""
+        """Pass an event to the decision module, after the events that are still queued."""
         self.events.append(event)
         if self.is_handling:
             return
@@ -359,8 +401,8 @@
                 self._execute(action)
         self.is_handling = False
 
-    def _timer_fired(self, life: int, token: int) -> None:
-        if life == self.incarnation and not self._defer_if_paused(self._timer_fired, life, token):
+    def _timer_fired(self, incarnation: int, token: int) -> None:
+        if incarnation == self.incarnation and not self._defer_if_paused(self._timer_fired, incarnation, token):
             self.handle_event(TimerFired(token))
 
     def _execute(self, action: Action) -> None:
@@ -368,110 +410,113 @@
         match action:
             case StartAttempt():
                 self._start_attempt(action)
-            case RejectRequest(request_id=key) | FailRequest(request_id=key):
-                held = self.pending.pop(key, None)
-                if held is not None:
-                    held.record.is_closed = True
-                    self._answer_client(held, action)
+            case RejectRequest(request_id=request_id) | FailRequest(request_id=request_id):
+                request = self.pending.pop(request_id, None)
+                if request is not None:
+                    request.record.is_closed = True
+                    self._answer_client(request, action)
             case SetTimer(delay=delay, token=token):
                 self.kernel.after(max(0.0, delay), self._timer_fired, self.incarnation, token)
-            case CancelAttempt(request_id=key, attempt=number):
-                held = self.pending.get(key)
-                attempt = held.open_attempts.get(number) if held is not None else self._find_attempt(key, number)
+            case CancelAttempt(request_id=request_id, attempt=number):
+                request = self.pending.get(request_id)
+                attempt = (
+                    request.open_attempts.get(number) if request is not None else self._find_attempt(request_id, number)
+                )
                 if attempt is not None:
                     self._abandon_attempt(attempt, Outcome.CANCELLED)
             case StartHealthCheck(endpoint_id=name, timeout=timeout):
                 self._start_health_check(self.servers[name], timeout)
             case CloseIdleConnections(endpoint_id=name):
                 self._close_idle(name)
-            case SetReadiness(ready=on):
-                self.is_ready = on
+            case SetReadiness(ready=ready):
+                self.is_ready = ready
             case _:
                 self.recorder.count(now, f"action.{ACTION_COUNTER_NAMES.get(type(action), type(action).__name__)}")
 
-    def _find_attempt(self, key: str, number: int) -> Attempt | None:
+    def _find_attempt(self, request_id: str, number: int) -> Attempt | None:
         return next(
             (
                 attempt
                 for attempts in self.open_attempts.values()
                 for attempt in attempts
-                if attempt.request.record.id == key and attempt.number == number
+                if attempt.request.record.id == request_id and attempt.number == number
             ),
             None,
         )
 
-    def _answer_client(self, held: PendingRequest, action: RejectRequest | FailRequest) -> None:
-        if held.answered:
+    def _answer_client(self, request: PendingRequest, action: RejectRequest | FailRequest) -> None:
+        if request.answered:
             return
-        held.answered = True
-        reason = getattr(action, "reason", "") or ("attempt" if held.attempt_count else "unknown")
+        request.answered = True
+        reason = getattr(action, "reason", "") or ("attempt" if request.attempt_count else "unknown")
         if isinstance(action, RejectRequest):
-            self.rules.check_rejection(self.kernel.now, held.record)
-            self.rules.check_answer(self.kernel.now, held.record, "refused")
-            self.load_balancer.request_rejected(held, action.retry_after, reason)
+            self.rules.check_rejection(self.kernel.now, request.record)
+            self.rules.check_answer(self.kernel.now, request.record, "refused")
+            self.load_balancer.request_rejected(request, action.retry_after, reason)
         else:
-            self.rules.check_answer(self.kernel.now, held.record, "failed")
-            self.load_balancer.request_failed(held, reason)
+            self.rules.check_answer(self.kernel.now, request.record, "failed")
+            self.load_balancer.request_failed(request, reason)
 
     # Attempts
 
     def _start_attempt(self, action: StartAttempt) -> None:
         now = self.kernel.now
-        held = self.pending.get(action.request_id)
-        if held is None:
+        request = self.pending.get(action.request_id)
+        if request is None:
             self.rules.report_violation(
                 "nothing after the end",
                 now,
-                f"request {action.request_id} is not held and went to {action.endpoint_id}",
+                f"request {action.request_id} is not pending, and an attempt was sent to {action.endpoint_id}",
             )
             self.events.append(
                 AttemptEnded(action.request_id, 0, action.endpoint_id, Outcome.NOT_SENT, request_finished=True)
             )
             return
-        number = held.attempt_count
-        held.attempt_count = held.attempt_count + 1
+        number = request.attempt_count
+        request.attempt_count += 1
         server = self.servers[action.endpoint_id]
-        if held.answered or number >= self.fleet.max_attempts:
+        if request.answered or number >= self.fleet.max_attempts:
             self.events.append(
                 AttemptEnded(
-                    action.request_id, number, action.endpoint_id, Outcome.NOT_SENT, request_finished=held.answered
+                    action.request_id, number, action.endpoint_id, Outcome.NOT_SENT, request_finished=request.answered
                 )
             )
             return
-        self.rules.check_attempt(now, held.record, server.id, server.zone, server.cell)
+        self.rules.check_attempt(now, request.record, server.id, server.zone, server.cell)
         self.rules.check_draining(now, self.number, server.id, self.leaving_since.get(server.id))
         self.recorder.count(now, "attempts")
-        wait = min(action.timeout or held.record.deadline - now, held.record.deadline - now)
-        attempt = Attempt(self, held, number, server, now, now + max(wait, 0.0))
-        held.open_attempts[number] = attempt
+        timeout = min(action.timeout or request.record.deadline - now, request.record.deadline - now)
+        attempt = Attempt(self, request, number, server, now, now + max(timeout, 0.0))
+        request.open_attempts[number] = attempt
         self.open_attempts.setdefault(server.id, {})[attempt] = None
         self.kernel.at(attempt.expires_at, self._attempt_timed_out, attempt)
-        kept = self.idle.get(server.id, [])
-        while kept:
-            _, epoch = kept.pop()
-            if epoch == server.incarnation or not server.is_reachable:
-                self._write_request(attempt)  # a machine that vanished leaves connections open and silent
+        idle_connections = self.idle.get(server.id, [])
+        while idle_connections:
+            _, incarnation = idle_connections.pop()
+            # Connections to a machine that vanished stay open and never answer.
+            if incarnation == server.incarnation or not server.is_reachable:
+                self._write_request(attempt)
                 return
         self._connect(attempt)
 
     def _connect(self, attempt: Attempt) -> None:
         server = attempt.server
-        limit = self.fleet.connect_timeout_ms / 1000
+        connect_timeout_s = self.fleet.connect_timeout_ms / 1000
         if not server.is_reachable or not self.network.is_reachable(self.zone, server.zone):
-            self.kernel.after(limit, self._outcome, attempt, Outcome.CONNECT_FAILED)
+            self.kernel.after(connect_timeout_s, self._outcome, attempt, Outcome.CONNECT_FAILED)
             return
-        turn = 2 * self.network.delay(self.zone, server.zone)
+        round_trip_s = 2 * self.network.delay(self.zone, server.zone)
         self.recorder.count(self.kernel.now, "handshakes")
         if not server.accepts():
-            self.kernel.after(turn, self._outcome, attempt, Outcome.CONNECT_FAILED)
+            self.kernel.after(round_trip_s, self._outcome, attempt, Outcome.CONNECT_FAILED)
             return
         server.connections += 1
-        took = server.add_handshake() + self.fleet.handshake_rtts * turn
-        if took > limit:
+        handshake_s = server.add_handshake() + self.fleet.handshake_rtts * round_trip_s
+        if handshake_s > connect_timeout_s:
             self._remove_connections(server, 1)
-            self.kernel.after(limit, self._outcome, attempt, Outcome.CONNECT_FAILED)
+            self.kernel.after(connect_timeout_s, self._outcome, attempt, Outcome.CONNECT_FAILED)
         else:
-            self.kernel.after(took, self._connected, attempt)
+            self.kernel.after(handshake_s, self._connected, attempt)
 
     def _connected(self, attempt: Attempt) -> None:
         if attempt.gateway_incarnation != self.incarnation or attempt.server_incarnation != attempt.server.incarnation:
@@ -489,7 +534,7 @@
         self.kernel.after(self.network.delay(self.zone, server.zone), self._arrive, attempt)
 
     def _arrive(self, attempt: Attempt) -> None:
-        """The attempt's last byte arrives, unless the network or the server is gone."""
+        """Deliver the complete attempt to its server, unless the server or the network is down."""
         server = attempt.server
         now = self.kernel.now
         if not server.is_reachable or not self.network.is_reachable(self.zone, server.zone):
@@ -504,15 +549,15 @@
         if attempt.number == 0:
             self.rules.charge_ceiling(now, attempt.request.record)
             self.load_balancer.attempt_arrived(attempt.request)
-        knew = self.endpoint_starts.get(server.id, 0.0) >= server.started_at
-        if self.rules.add_work(now, server.id, attempt.work, knew, server.capacity(), server.is_warming_up()):
+        is_informed = self.endpoint_starts.get(server.id, 0.0) >= server.started_at
+        if self.rules.add_work(now, server.id, attempt.work, is_informed, server.capacity(), server.is_warming_up()):
             self.recorder.count(now, "servers that fell over")
             self.on_collapse(server)
             return
         server.receive(attempt)
 
     def deliver_outcome(self, attempt: Attempt, outcome: Outcome) -> None:
-        """Sends the outcome of an attempt back, unless the network loses it."""
+        """Send the outcome of an attempt back to the gateway, unless the network loses it."""
         server = attempt.server
         if self.network.is_reachable(self.zone, server.zone) and not self.network.loses_answer():
             self.kernel.after(self.network.delay(self.zone, server.zone), self._outcome, attempt, outcome)
@@ -525,42 +570,42 @@
         ):
             return
         now = self.kernel.now
-        held = attempt.request
+        request = attempt.request
         server = attempt.server
         self._close_attempt(attempt)
-        whole = outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)
+        has_response = outcome in (Outcome.OK, Outcome.ERROR, Outcome.REJECTED)
         if attempt.is_written and attempt.server_incarnation == server.incarnation:
-            if whole:
+            if has_response:
                 self.idle.setdefault(server.id, []).append((now, attempt.server_incarnation))
             else:
                 self._remove_connections(server, 1)
-        self.rules.end_attempt(held.record, attempt.number, outcome)
+        self.rules.end_attempt(request.record, attempt.number, outcome)
         self.recorder.count(now, f"outcome.{outcome.value}")
         if outcome is Outcome.OK:
             self.recorder.add_latency(
                 now, "cold server" if server.is_warming_up() else "warm server", now - attempt.started_at
             )
-            if not held.answered:
-                held.answered = True
-                self.rules.check_answer(now, held.record, "served")
-                self.load_balancer.request_served(held)
+            if not request.answered:
+                request.answered = True
+                self.rules.check_answer(now, request.record, "served")
+                self.load_balancer.request_served(request)
         self._notify_attempt_ended(attempt, outcome)
 
     def _notify_attempt_ended(self, attempt: Attempt, outcome: Outcome) -> None:
-        held = attempt.request
+        request = attempt.request
         self.handle_event(
             AttemptEnded(
-                held.record.id,
+                request.record.id,
                 attempt.number,
                 attempt.server.id,
                 outcome,
                 self.kernel.now - attempt.started_at,
-                held.answered,
+                request.answered,
             )
         )
-        if held.answered:
-            held.record.is_closed = True
-            self.pending.pop(held.record.id, None)
+        if request.answered:
+            request.record.is_closed = True
+            self.pending.pop(request.record.id, None)
 
     def _attempt_timed_out(self, attempt: Attempt) -> None:
         if (
@@ -576,7 +621,7 @@
         attempt.is_abandoned = True
         self._close_attempt(attempt)
         if attempt.is_written and attempt.server_incarnation == attempt.server.incarnation:
-            self._remove_connections(attempt.server, 1)  # to give an attempt up is to close its connection
+            self._remove_connections(attempt.server, 1)  # An abandoned attempt closes its connection.
         self.rules.end_attempt(attempt.request.record, attempt.number, outcome)
         self.recorder.count(self.kernel.now, f"outcome.{outcome.value}")
         self._notify_attempt_ended(attempt, outcome)
@@ -589,7 +634,7 @@
     # Connections
 
     def server_lost(self, name: str) -> None:
-        """The server's process is gone and its machine says so: what is out there is reset."""
+        """Reset all connections to a server whose process has ended and whose machine still answers."""
         self._close_idle(name)
         for attempt in list(self.open_attempts.get(name, ())):
             if attempt.is_written:
@@ -597,38 +642,42 @@
 
     def _close_idle(self, name: str) -> None:
         server = self.servers[name]
-        self._remove_connections(server, sum(epoch == server.incarnation for _, epoch in self.idle.pop(name, ())))
+        connections = self.idle.pop(name, ())
+        self._remove_connections(server, sum(incarnation == server.incarnation for _, incarnation in connections))
 
     @staticmethod
     def _remove_connections(server: ServerModel, count: int) -> None:
         server.connections = max(0, server.connections - count)
 
-    def _sweep_idle(self, life: int) -> None:
-        if life != self.incarnation:
+    def _sweep_idle(self, incarnation: int) -> None:
+        if incarnation != self.incarnation:
             return
-        self.kernel.after(IDLE_SWEEP_INTERVAL_S, self._sweep_idle, life)
-        limit = self.kernel.now - IDLE_TIMEOUT_RATIO * self.fleet.idle_s
-        for name, kept in self.idle.items():
+        self.kernel.after(IDLE_SWEEP_INTERVAL_S, self._sweep_idle, incarnation)
+        oldest_idle_since = self.kernel.now - IDLE_TIMEOUT_RATIO * self.fleet.idle_s
+        for name, connections in self.idle.items():
             server = self.servers[name]
-            fresh = [one for one in kept if one[0] >= limit]
+            retained = [connection for connection in connections if connection[0] >= oldest_idle_since]
+            expired = connections[: len(connections) - len(retained)]
             self._remove_connections(
-                server, sum(epoch == server.incarnation for _, epoch in kept[: len(kept) - len(fresh)])
+                server, sum(server_incarnation == server.incarnation for _, server_incarnation in expired)
             )
-            kept[:] = fresh
+            connections[:] = retained
 
     def _start_health_check(self, server: ServerModel, timeout: float) -> None:
         self.recorder.count(self.kernel.now, "probes")
-        silent = server.defect is not None and server.defect.mode == "silent"
-        if not server.is_reachable or silent or not self.network.is_reachable(self.zone, server.zone):
+        is_silent = server.defect is not None and server.defect.mode == "silent"
+        if not server.is_reachable or is_silent or not self.network.is_reachable(self.zone, server.zone):
             self.kernel.after(timeout, self._health_check_ended, self.incarnation, server.id, Outcome.TIMEOUT, timeout)
             return
-        turn = 2 * self.network.delay(self.zone, server.zone)
-        well = server.accepts() and not server.is_draining
-        if well:
+        round_trip_s = 2 * self.network.delay(self.zone, server.zone)
+        is_healthy = server.accepts() and not server.is_draining
+        if is_healthy:
             server.handshake_work += HEALTH_CHECK_WORK_S
-        outcome = Outcome.OK if well else Outcome.CONNECT_FAILED
-        self.kernel.after(turn, self._health_check_ended, self.incarnation, server.id, outcome, turn)
+        outcome = Outcome.OK if is_healthy else Outcome.CONNECT_FAILED
+        self.kernel.after(round_trip_s, self._health_check_ended, self.incarnation, server.id, outcome, round_trip_s)
 
-    def _health_check_ended(self, life: int, name: str, outcome: Outcome, took: float) -> None:
-        if life == self.incarnation and not self._defer_if_paused(self._health_check_ended, life, name, outcome, took):
-            self.handle_event(HealthCheckEnded(name, outcome, took))
+    def _health_check_ended(self, incarnation: int, name: str, outcome: Outcome, duration: float) -> None:
+        if incarnation != self.incarnation:
+            return
+        if not self._defer_if_paused(self._health_check_ended, incarnation, name, outcome, duration):
+            self.handle_event(HealthCheckEnded(name, outcome, duration))
--- a/ingress/emulator/listing.py
+++ b/ingress/emulator/listing.py
@@ -1,4 +1,4 @@
-"""Discovery in simulated time: the endpoint list, which is late, and its delivery to the gateways, which is later."""
+"""Simulated discovery: the delayed updates of the endpoint list, and their delayed delivery to the gateways."""
 
 from __future__ import annotations
 
@@ -10,24 +10,27 @@
 from ingress.emulator.experiment import DiscoveryDelays
 from ingress.emulator.kernel import Clock, RandomStream
 
-VERSION_INTERVAL_S = 0.2  # s within which changes make one version
+VERSION_INTERVAL_S = 0.2  # Changes within this time are published as one version.
 
 
 class Listener(Protocol):
-    """A gateway, as discovery sees it."""
+    """A gateway as discovery sees it."""
 
     def endpoints_changed(self, event: EndpointsChanged) -> None:
-        """A message of discovery arrives."""
+        """Receive a message of discovery."""
 
 
 class DiscoveryModel:
-    """What discovery has published, and its delivery to each gateway.
+    """The published endpoint list, and its delivery to each gateway.
 
     Attributes:
-        entries: the endpoint list.
-        version: of it.
-        down_until: until then discovery is down (s).
-        listeners: all gateways, by number.
+        kernel: The clock.
+        spec: The delays of discovery in the experiment.
+        random: The random stream of the delays.
+        entries: The published endpoint list, by endpoint.
+        version: The version of the published list.
+        down_until: When discovery is available again (s).
+        listeners: The gateways, by number.
     """
 
     def __init__(self, kernel: Clock, spec: DiscoveryDelays, draws: RandomStream, entries: Iterable[Endpoint]) -> None:
@@ -38,11 +41,12 @@
         self.version = 1
         self.down_until = 0.0
         self.listeners: list[Listener] = []
-        self._pending_entries: dict[str, Endpoint] = {}  # changes since the last version
-        self._last_delivery: dict[int, float] = {}  # when the last message reaches each: they come in order
+        self._pending_entries: dict[str, Endpoint] = {}  # Changes since the latest version.
+        # When the latest message reaches each gateway; messages are delivered in order.
+        self._last_delivery: dict[int, float] = {}
 
     def schedule_update(self, delay: tuple[float, float], entry: Endpoint, is_valid: Callable[[], bool]) -> None:
-        """Publishes an entry after a delay from a range (s), if it is valid by then."""
+        """Publish an entry after a delay drawn from a range (s), if `is_valid` returns true by then."""
         self.kernel.after(self.random.uniform(*delay), self._publish, entry, is_valid)
 
     def _publish(self, entry: Endpoint, is_valid: Callable[[], bool]) -> None:
@@ -68,7 +72,7 @@
             self._deliver(number, listener, EndpointsChanged(EndpointListKind.UPDATE, changes, self.version))
 
     def request_list(self, number: int, listener: Listener) -> None:
-        """A gateway that has started gets the full list, once discovery is up."""
+        """Deliver the complete list to a gateway that has started, once discovery is available."""
         if self.kernel.now < self.down_until:
             self.kernel.at(self.down_until, self.request_list, number, listener)
             return
--- a/ingress/emulator/measure.py
+++ b/ingress/emulator/measure.py
@@ -1,4 +1,4 @@
-"""What a play showed: counts by second, latencies as HDR histograms, gauges over time."""
+"""The measurements of a run: counts and gauges by second, and latencies as HDR histograms."""
 
 from __future__ import annotations
 
@@ -9,52 +9,56 @@
 
 MIN_LATENCY_US = 1
 MAX_LATENCY_US = 60_000_000
-SIGNIFICANT_DIGITS = 3  # of a latency that are kept
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 def new_histogram() -> HdrHistogram:
-    """An empty histogram of latencies in us."""
+    """Create an empty histogram of latencies in microseconds."""
     return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def decode_histogram(text: str) -> HdrHistogram:
-    """A histogram as `encode` wrote it."""
-    found = new_histogram()
-    found.decode_and_add(text.encode())
-    return found
+    """Read a histogram from the text of `encode_histogram`."""
+    histogram = new_histogram()
+    histogram.decode_and_add(text.encode())
+    return histogram
 
 
-def encode_histogram(source: HdrHistogram) -> str:
-    """A histogram as text."""
-    return str(source.encode().decode())
+def encode_histogram(histogram: HdrHistogram) -> str:
+    """Return a histogram as text."""
+    return str(histogram.encode().decode())
 
 
 class Latencies:
-    """Latencies, given in s and recorded in us."""
+    """A histogram of latencies, given in seconds and recorded in microseconds.
+
+    Attributes:
+        histogram: The histogram.
+    """
 
     def __init__(self) -> None:
         self.histogram = new_histogram()
 
     def add(self, seconds: float) -> None:
-        """Records one."""
+        """Record a latency (s)."""
         self.histogram.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, int(seconds * 1e6))))
 
     def percentiles(self) -> dict[str, float]:
-        """Percentiles in ms; empty without a sample."""
+        """Return the percentiles in milliseconds; empty without a sample."""
         if not self.histogram.get_total_count():
             return {}
         return {f"p{rank:g}": round(self.histogram.get_value_at_percentile(rank) / 1000, 3) for rank in PERCENTILES}
 
 
 class Recorder:
-    """Counts by second of the day, and over all of it.
+    """Counts by second of the run, and over the complete run.
 
     Attributes:
-        series: counts and gauges by second.
-        totals: counts of the whole day.
-        worth: sums of priority weights by what became of the requests.
-        latencies: by what was measured.
+        series: The counts and gauges by second.
+        totals: The counts of the complete run.
+        weights: The sums of the weights of requests, by their result.
+        latencies: The histograms of latencies, by name.
     """
 
     def __init__(self) -> None:
@@ -63,26 +67,26 @@
         self.weights: defaultdict[str, float] = defaultdict(float)
         self.latencies: dict[str, Latencies] = {}
 
-    def count(self, now: float, what: str, amount: float = 1) -> None:
-        """Adds to a count."""
-        self.series[int(now)][what] += amount  # type: ignore[assignment]
-        self.totals[what] += amount  # type: ignore[assignment]
+    def count(self, now: float, name: str, amount: float = 1) -> None:
+        """Add an amount to a count."""
+        self.series[int(now)][name] += amount  # type: ignore[assignment]
+        self.totals[name] += amount  # type: ignore[assignment]
 
-    def set_gauge(self, now: float, what: str, value: float) -> None:
-        """Sets what has this value in that second."""
-        self.series[int(now)][what] = value  # type: ignore[assignment]
+    def set_gauge(self, now: float, name: str, value: float) -> None:
+        """Set a gauge for the second of the time `now` (s)."""
+        self.series[int(now)][name] = value  # type: ignore[assignment]
 
-    def add_latency(self, now: float, what: str, seconds: float) -> None:
-        """Records a latency in s; its mean by second is `what.sum` over `what.n`."""
-        if what not in self.latencies:
-            self.latencies[what] = Latencies()
-        self.latencies[what].add(seconds)
+    def add_latency(self, now: float, name: str, seconds: float) -> None:
+        """Record a latency (s); the series get its sum and count by second as `<name>.sum` and `<name>.n`."""
+        if name not in self.latencies:
+            self.latencies[name] = Latencies()
+        self.latencies[name].add(seconds)
         second = self.series[int(now)]
-        second[f"{what}.sum"] += seconds  # type: ignore[assignment]
-        second[f"{what}.n"] += 1
+        second[f"{name}.sum"] += seconds  # type: ignore[assignment]
+        second[f"{name}.n"] += 1
 
     def series_rows(self) -> list[dict[str, Any]]:
-        """The series as plain data, a row for each second."""
+        """Return the series as plain data, one row per second."""
         return [
             {"second": second, **{key: round(value, 5) for key, value in sorted(counts.items())}}
             for second, counts in sorted(self.series.items())
--- a/ingress/emulator/network.py
+++ b/ingress/emulator/network.py
@@ -1,4 +1,4 @@
-"""The network in simulated time: delays, lost answers, resets, zones cut off."""
+"""The simulated network: delays, lost responses, connection resets and isolated zones."""
 
 from __future__ import annotations
 
@@ -7,12 +7,14 @@
 
 
 class NetworkModel:
-    """The way between clients, gateways and endpoints.
+    """The network between clients, gateways and endpoints.
 
     Attributes:
-        isolated_zones: zones that reach no other.
-        loss_rate: the share of answers that get lost.
-        reset_rate: the share of attempts whose connection is reset.
+        spec: The settings of the network in the experiment.
+        random: The random stream of delays, losses and resets.
+        isolated_zones: The zones that can't reach another zone.
+        loss_rate: The share of responses that are lost.
+        reset_rate: The share of attempts whose connection is reset.
     """
 
     def __init__(self, spec: Network, draws: RandomStream) -> None:
@@ -22,23 +24,25 @@
         self.loss_rate = spec.loss
         self.reset_rate = spec.reset
 
-    def delay(self, here: int, there: int) -> float:
-        """One way between two zones, in s."""
-        mean = self.spec.same_ms if here == there else self.spec.cross_ms
+    def delay(self, source_zone: int, target_zone: int) -> float:
+        """Draw the one-way delay between two zones (s)."""
+        mean = self.spec.same_ms if source_zone == target_zone else self.spec.cross_ms
         return mean / 1000 * (1 + self.random.exponential(self.spec.jitter))
 
     def client_delay(self) -> float:
-        """One way between a client and a gateway, in s."""
+        """Draw the one-way delay between a client and a gateway (s)."""
         return self.spec.client_ms / 1000 * (1 + self.random.exponential(self.spec.jitter))
 
-    def is_reachable(self, here: int, there: int) -> bool:
-        """Whether packets pass between two zones."""
-        return here == there or not (here in self.isolated_zones or there in self.isolated_zones)
+    def is_reachable(self, source_zone: int, target_zone: int) -> bool:
+        """Report whether packets pass between two zones."""
+        return source_zone == target_zone or not (
+            source_zone in self.isolated_zones or target_zone in self.isolated_zones
+        )
 
     def loses_answer(self) -> bool:
-        """Whether this answer gets lost."""
+        """Draw whether a response is lost."""
         return self.random.chance(self.loss_rate)
 
     def resets_connection(self) -> bool:
-        """Whether the connection of this attempt is reset."""
+        """Draw whether the connection of an attempt is reset."""
         return self.random.chance(self.reset_rate)
--- a/ingress/emulator/oracle.py
+++ b/ingress/emulator/oracle.py
@@ -1,4 +1,7 @@
-"""What no gateway can know: waiting by the true state of all servers, to see what a better estimate could gain."""
+"""Congestion by the true state of all servers, which no real gateway can know.
+
+It shows the most that a better estimate of congestion could gain.
+"""
 
 from __future__ import annotations
 
@@ -11,18 +14,21 @@
 from ingress.emulator.gateways import GatewayFactory
 from ingress.emulator.servers import ServerModel
 
-SHEDDING_START = 0.3  # latency objectives that a response would take: shedding begins
-SHEDDING_FULL = 0.8  # latency objectives that a response would take: all is shed
-UPDATE_INTERVAL_S = 0.01  # it changes little meanwhile, and each update costs as much as there are servers
+SHEDDING_START = 0.3  # Mean response time in latency objectives at which load shedding starts.
+SHEDDING_FULL = 0.8  # Mean response time in latency objectives at which all requests are shed.
+# The state changes little within this interval, and the cost of an update grows with the number of servers.
+UPDATE_INTERVAL_S = 0.01
 
 
 class TrueCongestion(CongestionEstimate):
-    """Estimates waiting by the true state of the servers, in place of the answers that came here.
+    """An estimate of congestion by the true state of the servers, instead of the responses that a gateway received.
 
-    Args:
-        servers: their state.
-        mean_work: s that a request takes on a core of nominal speed.
-        longest_objective: the longest latency objective in s.
+    Attributes:
+        servers: The servers, by ID.
+        mean_work: The mean work of a request, in seconds on a core of nominal speed.
+        longest_objective: The longest latency objective (s).
+        true_open_time_at: When the estimate was last updated (s).
+        true_open_time: The latest estimate.
     """
 
     def __init__(self, servers: Mapping[str, ServerModel], mean_work: float, longest_objective: float) -> None:
@@ -34,16 +40,16 @@
         self.true_open_time = 0.0
 
     def mean_open_time(self, now: float) -> float:
-        """The mean time to an answer, each server counted by what it can do now, on the scale of the estimate."""
+        """Return the mean response time of the servers, weighted by their pace, on the scale of the estimate."""
         super().mean_open_time(now)
         if now - self.true_open_time_at >= UPDATE_INTERVAL_S:
-            objectives = self._mean_answer_time() / self.longest_objective
+            objectives = self._mean_response_time() / self.longest_objective
             ratio = (objectives - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START)
             self.true_open_time = CONGESTION_START_RATIO + ratio * (CONGESTION_FULL_RATIO - CONGESTION_START_RATIO)
             self.true_open_time_at = now
         return self.true_open_time
 
-    def _mean_answer_time(self) -> float:
+    def _mean_response_time(self) -> float:
         waits = 0.0
         paces = 0.0
         for server in self.servers.values():
@@ -53,12 +59,12 @@
         return waits / max(paces, 1e-9)
 
 
-def oracle_gateway_factory(true: Mapping[str, ServerModel], work: float) -> GatewayFactory:
-    """Gateways that see the waiting at the servers `true`."""
+def oracle_gateway_factory(servers: Mapping[str, ServerModel], mean_work: float) -> GatewayFactory:
+    """Return a factory of gateways that estimate congestion by the true state of the servers."""
 
     def make(settings: Settings, seed: int) -> gateway.Gateway:
-        longest_objective = max(cls.latency_objective for cls in settings.classes)
-        congestion = TrueCongestion(true, work, longest_objective)
+        longest_objective = max(request_class.latency_objective for request_class in settings.classes)
+        congestion = TrueCongestion(servers, mean_work, longest_objective)
         return gateway.Gateway(settings, seed, lambda settings, rng: Cluster(settings, rng, congestion))
 
     return make
--- a/ingress/emulator/servers.py
+++ b/ingress/emulator/servers.py
@@ -1,4 +1,4 @@
-"""Schedule servers in simulated time: cores, waiting room, connection table, cold start, faults."""
+"""Simulated servers behind endpoints: cores, request queue, connection table, warm-up and faults."""
 
 from __future__ import annotations
 
@@ -10,24 +10,36 @@
 from ingress.emulator.experiment import Fleet
 from ingress.emulator.kernel import Clock, RandomStream
 
-IMMEDIATE_ERROR_S = 0.002  # s that an error takes which needs no work
-FULL_TABLE_CAPACITY_LOSS_RATIO = 0.1  # of its capacity that a server with a full connection table loses
+IMMEDIATE_ERROR_S = 0.002  # The duration of an error response, which needs no work.
+FULL_TABLE_CAPACITY_LOSS_RATIO = 0.1  # The share of its capacity that a server with a full connection table loses.
 
 
 class ServerAttempt(Protocol):
-    """An attempt, as its server sees it."""
+    """An attempt as its server sees it.
 
-    work: float  # s on a core of nominal speed
-    is_abandoned: bool  # nobody waits for it any more
+    Attributes:
+        work: Its work, in seconds on a core of nominal speed.
+        is_abandoned: Whether its gateway no longer waits for the outcome.
+        expires_at: The time from which the server rejects it (s).
+    """
+
+    work: float
+    is_abandoned: bool
     expires_at: float
 
     def complete(self, outcome: Outcome) -> None:
-        """The attempt has ended at the endpoint."""
+        """Receive the outcome of the attempt from the server."""
 
 
 @dataclass(slots=True)
 class Defect:
-    """What makes a running server bad."""
+    """The defect of a running server.
+
+    Attributes:
+        mode: `slow`, `errors`, `silent`, `spoilt` (malformed responses) or `refuse` (refused connections).
+        rate: The share of requests that is affected in the modes `errors`, `silent` and `spoilt`.
+        factor: The factor by which a `slow` server is slower.
+    """
 
     mode: str
     rate: float
@@ -35,7 +47,30 @@
 
 
 class ServerModel:
-    """One server.  `epoch` counts its starts; `machine`: it can be reached at all."""
+    """One server.
+
+    Attributes:
+        kernel: The clock.
+        fleet: The settings of servers in the experiment.
+        random: The random stream of the servers.
+        id: Its ID in the endpoint list.
+        zone: Its zone.
+        cell: Its cell.
+        cores: The number of its cores.
+        speed: Its speed relative to the nominal speed.
+        incarnation: The number of its stops, which tells its processes apart.
+        started_at: When its process started (s); 0 if it started long before the run.
+        is_running: Whether its process runs.
+        is_reachable: Whether its machine is reachable on the network.
+        is_draining: Whether it drains and rejects new requests.
+        busy: The number of busy cores.
+        connections: The number of its connections.
+        work_done: The work that it has completed, in seconds on a core of nominal speed.
+        handshake_work: The seconds of handshakes that delay the next request.
+        collapsed: Whether it collapsed under overload while it warmed up, and stays down.
+        queue: The queued requests.
+        defect: The injected defect, if any.
+    """
 
     __slots__ = (
         "busy",
@@ -69,7 +104,8 @@
         self.cell = number // 4
         self.cores = fleet.cores
         self.speed = draws.uniform(*fleet.speed)
-        self.incarnation, self.started_at = 0, 0.0  # 0: long ago
+        self.incarnation = 0
+        self.started_at = 0.0
         self.is_running = True
         self.is_reachable = True
         self.is_draining = False
@@ -77,46 +113,48 @@
         self.connections = 0
         self.work_done = 0.0
         self.handshake_work = 0.0
-        self.collapsed = False  # it was pushed over while it was cold, and stays down
+        self.collapsed = False
         self.queue: deque[ServerAttempt] = deque()
         self.defect: Defect | None = None
 
     def capacity_share(self) -> float:
-        """The share of its capacity that it has now."""
+        """Return the share of its full capacity that it has now."""
         age = self.kernel.now - self.started_at
         if not self.started_at or age >= self.fleet.cold_s:
             return 1.0
         return self.fleet.cold_share + (1 - self.fleet.cold_share) * age / self.fleet.cold_s
 
     def is_warming_up(self) -> bool:
-        """Whether it is within its slow start."""
+        """Report whether it warms up after a start."""
         return self.started_at > 0 and self.kernel.now < self.started_at + self.fleet.cold_s
 
     def capacity(self) -> float:
-        """Seconds of nominal work that it does in a second."""
-        full = self.connections / (self.fleet.connections_per_core * self.cores)
-        return self.cores * self.speed * self.capacity_share() * (1 - FULL_TABLE_CAPACITY_LOSS_RATIO * min(1.0, full))
+        """Return the seconds of nominal work that it does in a second."""
+        table_use = self.connections / (self.fleet.connections_per_core * self.cores)
+        return (
+            self.cores * self.speed * self.capacity_share() * (1 - FULL_TABLE_CAPACITY_LOSS_RATIO * min(1.0, table_use))
+        )
 
     def pace(self) -> float:
-        """Seconds of nominal work that one core does in a second now."""
+        """Return the seconds of nominal work that one core does in a second now."""
         pace = self.capacity() / self.cores / (1 + self.fleet.thrash * self._overload_per_core())
         return pace / self.defect.factor if self.defect is not None and self.defect.mode == "slow" else pace
 
     def _overload_per_core(self) -> float:
-        """Requests for each core that it holds beyond what it holds with ease."""
+        """Return the requests per core beyond those that it handles without a slowdown."""
         return max(0.0, (self.busy + len(self.queue)) / self.cores - self.fleet.thrash_at)
 
     def accepts(self) -> bool:
-        """Whether a connection that reaches it comes up."""
+        """Report whether it accepts a connection that reaches it."""
         refuses = self.defect is not None and self.defect.mode == "refuse"
-        return self.is_running and not refuses and (self.connections < self.fleet.connections_per_core * self.cores)
+        return self.is_running and not refuses and self.connections < self.fleet.connections_per_core * self.cores
 
     def receive(self, attempt: ServerAttempt) -> None:
-        """An attempt is here whole."""
-        bad = self.defect if self.defect is not None and self.random.chance(self.defect.rate) else None
-        if bad is not None and bad.mode == "silent":
+        """Receive a complete attempt: answer it, start its work or queue it."""
+        defect = self.defect if self.defect is not None and self.random.chance(self.defect.rate) else None
+        if defect is not None and defect.mode == "silent":
             return
-        if (bad is not None and bad.mode == "errors") or self.random.chance(self.fleet.error_rate):
+        if (defect is not None and defect.mode == "errors") or self.random.chance(self.fleet.error_rate):
             self.kernel.after(IMMEDIATE_ERROR_S, attempt.complete, Outcome.ERROR)
         elif self.is_draining or self.kernel.now >= attempt.expires_at:
             attempt.complete(Outcome.REJECTED)
@@ -128,24 +166,24 @@
             attempt.complete(Outcome.REJECTED)
 
     def add_handshake(self) -> float:
-        """A new connection: the seconds of its work, which whatever is begun next has to wait for."""
+        """Account for the work of a new connection, which delays the next request, and return its duration (s)."""
         work = self.fleet.handshake_ms / 1000 / max(self.capacity_share(), 0.01)
         self.handshake_work += work
         return work
 
     def _start_work(self, attempt: ServerAttempt) -> None:
         self.busy += 1
-        took = attempt.work / self.pace() + self.handshake_work
+        duration = attempt.work / self.pace() + self.handshake_work
         self.handshake_work = 0.0
-        self.kernel.after(took, self._finish_work, attempt, self.incarnation)
+        self.kernel.after(duration, self._finish_work, attempt, self.incarnation)
 
-    def _finish_work(self, attempt: ServerAttempt, epoch: int) -> None:
-        if epoch != self.incarnation:
-            return  # it died with the process
+    def _finish_work(self, attempt: ServerAttempt, incarnation: int) -> None:
+        if incarnation != self.incarnation:
+            return  # The work ended with its process.
         self.busy -= 1
         self.work_done += attempt.work
-        spoilt = self.defect is not None and self.defect.mode == "spoilt" and (self.random.chance(self.defect.rate))
-        attempt.complete(Outcome.MALFORMED if spoilt else Outcome.OK)
+        is_malformed = self.defect is not None and self.defect.mode == "spoilt" and self.random.chance(self.defect.rate)
+        attempt.complete(Outcome.MALFORMED if is_malformed else Outcome.OK)
         while self.queue and self.busy < self.cores:
             waiting = self.queue.popleft()
             if self.kernel.now >= waiting.expires_at or (waiting.is_abandoned and self.fleet.cancel == "queued"):
@@ -154,20 +192,20 @@
                 self._start_work(waiting)
 
     def stop(self) -> None:
-        """The process ends; what it holds is gone."""
+        """End the process, and lose its connections and requests."""
         self.is_running = False
-        self.incarnation = self.incarnation + 1
+        self.incarnation += 1
         self.busy = 0
         self.connections = 0
         self.queue.clear()
 
     def collapse(self) -> None:
-        """It got more than it bears while it warmed up, and stays down."""
+        """End the process for good, as an overload does during the warm-up."""
         self.stop()
         self.collapsed = True
 
     def start(self) -> None:
-        """A new process begins, unless it has collapsed."""
+        """Start a new process, unless the server has collapsed."""
         if self.collapsed:
             return
         self.is_running = True
--- a/ingress/emulator/testbed.py
+++ b/ingress/emulator/testbed.py
@@ -1,4 +1,4 @@
-"""What plays in simulated time and on real sockets have in common: servers, list, rules, result."""
+"""The common parts of runs in simulated time and on real sockets: servers, discovery, rules and results."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from ingress.emulator.servers import ServerModel
 
 STREAMS = ("arrivals", "front", "servers", "network", "listing", "faults", "seeds")
-LOAD_BALANCER_REACTION_S = 0.1  # s until the front has read that a gateway takes no more
-SAMPLE_INTERVAL_S = 1.0  # s between looks at states
+LOAD_BALANCER_REACTION_S = 0.1  # From SIGTERM until the load balancer has read that the gateway is not ready.
+SAMPLE_INTERVAL_S = 1.0  # Between samples of the states of servers and gateways.
 
 
 def zone_name(number: int) -> str:
-    """The name of a zone in the endpoint list."""
+    """Return the name of a zone in the endpoint list."""
     return f"z{number}"
 
 
 def gateway_settings(experiment: Experiment, number: int, plans: list[PlanKind]) -> Settings:
-    """What a gateway of this experiment is told at its start."""
+    """Return the settings with which a gateway of the experiment starts."""
     fleet = experiment.fleet
     rules = experiment.rules
     return Settings(
@@ -79,7 +79,20 @@
 
 
 class Testbed(ABC):
-    """The parts of a play, and the steps that faults consist of."""
+    """The parts of a run, and the operations of which faults consist.
+
+    Attributes:
+        experiment: The experiment.
+        seed: The seed of the run.
+        kernel: The clock.
+        random: The random streams, by name.
+        recorder: The counters and latencies of the run.
+        network: The network.
+        servers: The servers, by ID.
+        discovery: The endpoint list.
+        rules: The checker of the gateways' behaviour.
+        plans: The current plans.
+    """
 
     def __init__(self, experiment: Experiment, seed: int, kernel: Clock) -> None:
         self.experiment = experiment
@@ -96,7 +109,7 @@
         )
         self.rules = RuleChecker(experiment, experiment.load.work_ms / 1000)
         self.plans = list(experiment.plans)
-        self._work_done: dict[str, float] = {}
+        self._work_done: dict[str, float] = {}  # The work of each server at the latest sample.
 
     # Servers
 
@@ -107,7 +120,7 @@
         return server
 
     def entry(self, server: ServerModel, readiness: Readiness = Readiness.READY) -> Endpoint:
-        """The entry of an endpoint as discovery publishes it."""
+        """Return the entry of an endpoint as discovery publishes it."""
         return Endpoint(server.id, zone_name(server.zone), "m", server.cell, readiness, 1.0, server.started_at)
 
     def _publish(
@@ -117,39 +130,45 @@
         readiness: Readiness = Readiness.READY,
         runs: bool | None = None,
     ) -> None:
-        """Discovery learns of the endpoint late, and not at all of what has passed by then.
+        """Publish an entry of the endpoint after a delay, unless the server has changed by then.
 
-        `runs`: whether it must run by then; as a rule what `readiness` says.
+        Args:
+            server: The server.
+            delay: The range of the delay (s).
+            readiness: The readiness in the entry.
+            runs: Whether the server must run when the entry is published; by default as `readiness` implies.
         """
-        life = server.incarnation
+        incarnation = server.incarnation
         entry = self.entry(server, readiness)
-        there = readiness is not Readiness.REMOVED if runs is None else runs
-        self.discovery.schedule_update(delay, entry, lambda: server.incarnation == life and server.is_running is there)
+        must_run = readiness is not Readiness.REMOVED if runs is None else runs
+        self.discovery.schedule_update(
+            delay, entry, lambda: server.incarnation == incarnation and server.is_running is must_run
+        )
 
     @abstractmethod
     def reset_server(self, server: ServerModel) -> None:
-        """Connections to a former life of the server are reset."""
+        """Reset the connections to earlier incarnations of the server."""
 
     def vanish_server(self, server: ServerModel) -> None:
-        """Its machine is gone without a word."""
+        """Make the machine of a server unreachable without notice."""
         server.stop()
         server.is_reachable = False
         self._publish(server, self.experiment.listing.silent_s, Readiness.REMOVED)
 
     def crash_server(self, server: ServerModel) -> None:
-        """Its process dies; the list learns of it late."""
+        """End the process of a server; discovery reports it after a delay."""
         server.stop()
         self.reset_server(server)
         self._publish(server, self.experiment.listing.gone_s, Readiness.REMOVED)
 
     def collapse_server(self, server: ServerModel) -> None:
-        """A cold server got more than it bears: it stays down."""
+        """End the process of an overloaded cold server for good."""
         server.collapse()
         self.reset_server(server)
         self._publish(server, self.experiment.listing.gone_s, Readiness.REMOVED)
 
     def start_server(self, server: ServerModel) -> None:
-        """Its process starts anew; the list learns of it late."""
+        """Start a new process of a server; discovery reports it after a delay."""
         server.start()
         self.rules.reset_server(server.id)
         if not server.collapsed:
@@ -157,19 +176,19 @@
             self._publish(server, self.experiment.listing.add_s)
 
     def forget_server(self, server: ServerModel, forgotten: bool) -> None:
-        """The list has it as gone, or as ready again: it runs all the while."""
+        """Remove a running server from the endpoint list, or add it back."""
         self._publish(server, (0.0, 0.0), Readiness.REMOVED if forgotten else Readiness.READY, runs=True)
 
     def replace_server(self, server: ServerModel, warning: float) -> None:
-        """It drains and goes; another takes its place at once."""
+        """Drain a server and end it after `warning` s; another replaces it at once."""
         server.is_draining = True
         self._publish(server, self.experiment.listing.gone_s, Readiness.DRAINING)
         self.kernel.after(warning, self._retire, server)
-        fresh = self._new_server()
-        fresh.zone = server.zone
-        fresh.cell = server.cell
-        fresh.start()
-        self._publish(fresh, self.experiment.listing.add_s)
+        replacement = self._new_server()
+        replacement.zone = server.zone
+        replacement.cell = server.cell
+        replacement.start()
+        self._publish(replacement, self.experiment.listing.add_s)
 
     def _retire(self, server: ServerModel) -> None:
         server.stop()
@@ -180,84 +199,103 @@
 
     @abstractmethod
     def kill_gateway(self, number: int, drained: bool = False) -> None:
-        """SIGKILL.  `ended`: after a drain, which must have left nothing unanswered."""
+        """Kill a gateway with SIGKILL.
+
+        Args:
+            number: The number of the gateway.
+            drained: Whether it was drained, and must have left no request unanswered.
+        """
 
     @abstractmethod
     def terminate_gateway(self, number: int) -> None:
-        """SIGTERM."""
+        """Drain and end a gateway with SIGTERM."""
 
     @abstractmethod
     def start_gateway(self, number: int) -> None:
-        """Starts a process in the place of one that ended."""
+        """Start a new process for a gateway whose process has ended."""
 
     @abstractmethod
     def pause_gateway(self, number: int, paused: bool) -> None:
-        """SIGSTOP, SIGCONT."""
+        """Stop a gateway with SIGSTOP, or continue it with SIGCONT."""
 
     @abstractmethod
     def add_load_burst(self, start: float, end: float, factor: float, customers: int) -> None:
-        """All clients (or the first so many) ask `factor` times as much meanwhile."""
+        """Multiply the rate of customers during a time.
+
+        Args:
+            start: When the burst begins (s).
+            end: When it ends (s).
+            factor: The factor on the rate.
+            customers: How many of the first customers take part; 0 stands for all.
+        """
 
     @abstractmethod
     def change_plans(self, plans: list[PlanKind]) -> None:
-        """SIGHUP everywhere, once the files hold these plans."""
+        """Reload the settings of all gateways, as by SIGHUP, with these plans."""
 
     def scale_plans(self, factor: float) -> None:
-        """Every plan's rate and burst times `factor`."""
+        """Multiply the rate and burst of every plan by `factor`."""
         self.plans = [
             plan.model_copy(update={"rate": plan.rate * factor, "burst": max(1.0, plan.burst * factor)})
             for plan in self.plans
         ]
         self.change_plans(self.plans)
 
-    def resize_bucket(self, store: TokenBucket, plan: PlanKind) -> None:
-        """What customers have spent stays spent, in the world's own stores as well."""
-        store.refill(self.kernel.now)
-        store.rate, store.capacity, store.level = plan.rate, plan.burst, min(store.level, plan.burst)
+    def resize_bucket(self, bucket: TokenBucket, plan: PlanKind) -> None:
+        """Resize a token bucket of the emulator as the gateways do: units that were used stay used."""
+        bucket.refill(self.kernel.now)
+        bucket.rate = plan.rate
+        bucket.capacity = plan.burst
+        bucket.level = min(bucket.level, plan.burst)
 
-    # What is seen
+    # Measurements
 
     def sample_servers(self, second: float) -> None:
-        """What the servers have done in the second that ends now."""
-        work = {"warm": [0.0] * 4, "cold": [0.0] * 4}  # done, possible, waiting, how many
+        """Record the work and the state of the servers in the interval that ends now."""
+        # Sums of the completed work, the possible work, the queued requests and the servers.
+        totals = {"warm": [0.0] * 4, "cold": [0.0] * 4}
         for server in self.servers.values():
-            done, self._work_done[server.id] = server.work_done - self._work_done.get(server.id, 0.0), server.work_done
+            done = server.work_done - self._work_done.get(server.id, 0.0)
+            self._work_done[server.id] = server.work_done
             if not server.is_running or server.is_draining:
                 continue
-            sums = work["cold" if server.is_warming_up() else "warm"]
+            sums = totals["cold" if server.is_warming_up() else "warm"]
             sums[0] += done
             sums[1] += server.capacity() * SAMPLE_INTERVAL_S
             sums[2] += len(server.queue)
             sums[3] += 1
-        for name, (done, possible, waiting, count) in work.items():
+        for name, (done, possible, queued, count) in totals.items():
             self.recorder.set_gauge(second, f"servers.{name}", count)
             if possible:
                 self.recorder.set_gauge(second, f"use.{name}", done / possible)
-                self.recorder.set_gauge(second, f"waiting.{name}", waiting)
-        self.recorder.set_gauge(second, "connections", sum(s.connections for s in self.servers.values()))
+                self.recorder.set_gauge(second, f"waiting.{name}", queued)
+        self.recorder.set_gauge(second, "connections", sum(server.connections for server in self.servers.values()))
 
     def result(self, cpu: float) -> dict[str, Any]:
-        """The result of the play as plain data; `cpu`: s of the processor."""
+        """Return the result of the run as plain data; `cpu` is the processor time that it took (s)."""
         return build_result(self.kernel, self.seed, self.recorder, self.rules, cpu)
 
 
-def build_result(kernel: Clock, seed: int, record: Recorder, rules: RuleChecker, cpu: float) -> dict[str, Any]:
-    """Plain data; in simulated time `exact` is the same in each play of this seed."""
-    worth = record.weights
-    latencies = sorted(record.latencies.items())
+def build_result(kernel: Clock, seed: int, recorder: Recorder, rules: RuleChecker, cpu: float) -> dict[str, Any]:
+    """Return the result of a run as plain data.
+
+    In simulated time, `exact` is the same in every run with the same seed.
+    """
+    weights = recorder.weights
+    latencies = sorted(recorder.latencies.items())
     exact = {
         "seed": seed,
         "seconds": round(kernel.now, 6),
         "whole": not kernel.stopped,
         "events": kernel.events,
-        "worth": {key: round(worth[key], 6) for key in ("offered", "earned", "over cost")},
-        "good": round((worth["earned"] - worth["over cost"]) / (worth["offered"] or 1.0), 6),
-        "totals": {key: round(value, 6) for key, value in sorted(record.totals.items())},
-        "latency_ms": {name: one.percentiles() for name, one in latencies},
-        "histograms": {name: encode_histogram(one.histogram) for name, one in latencies},
+        "worth": {key: round(weights[key], 6) for key in ("offered", "earned", "over cost")},
+        "good": round((weights["earned"] - weights["over cost"]) / (weights["offered"] or 1.0), 6),
+        "totals": {key: round(value, 6) for key, value in sorted(recorder.totals.items())},
+        "latency_ms": {name: latency.percentiles() for name, latency in latencies},
+        "histograms": {name: encode_histogram(latency.histogram) for name, latency in latencies},
         "broken": dict(sorted(rules.counts.items())),
-        "breaks": [asdict(one) for one in rules.violations],
+        "breaks": [asdict(violation) for violation in rules.violations],
         "lowest_ceiling": round(rules.lowest_ceiling_ratio, 6),
-        "series": record.series_rows(),
+        "series": recorder.series_rows(),
     }
     return {"exact": exact, "cpu_s": round(cpu, 3), "events_a_second": round(kernel.events / cpu) if cpu > 0 else 0}
--- a/ingress/emulator/world.py
+++ b/ingress/emulator/world.py
@@ -1,4 +1,4 @@
-"""One play of an experiment in simulated time, from its seed to its result."""
+"""A run of an experiment in simulated time."""
 
 from __future__ import annotations
 
@@ -17,27 +17,35 @@
 from ingress.emulator.servers import ServerModel
 from ingress.emulator.testbed import LOAD_BALANCER_REACTION_S, SAMPLE_INTERVAL_S, Testbed, gateway_settings
 
-MAX_FIRST_LIST_DELAY_S = 0.4  # s from a start to the first answer of discovery
-FINAL_RESPONSES_S = 1.0  # s of the day's end in which the last answers come, beside the longest deadline
-MAX_SAMPLED_GATEWAYS = 20  # gateways whose view of the servers' states is read
+MAX_FIRST_LIST_DELAY_S = 0.4  # From the start of a gateway to the first response of discovery.
+FINAL_RESPONSES_S = 1.0  # For the last responses at the end of a run, in addition to the longest deadline.
+SAMPLED_GATEWAYS = 20  # The approximate number of gateways whose view of the servers' health is sampled.
 
 
 def make_gateway(settings: Settings, seed: int) -> DecisionModule:
-    """The decisions of one gateway, as a play uses them."""
+    """Create the decision module of a gateway."""
     return Gateway(settings, seed)
 
 
 def factory_builder(version: str, experiment: Experiment) -> Callable[[Testbed], GatewayFactory] | None:
-    """How a version of the experiment makes its gateways, where it differs; for `World`."""
-    if not any(one.name == version and one.sees for one in experiment.versions):
+    """Return what builds the gateway factory of a version of the experiment, None for the default factory.
+
+    The gateways of a version that sees the true state of the servers need the testbed.
+    """
+    if not any(candidate.name == version and candidate.sees for candidate in experiment.versions):
         return None
-    from ingress.emulator.oracle import oracle_gateway_factory  # needs what older revisions of the module lack
+    from ingress.emulator.oracle import oracle_gateway_factory  # Older revisions of the package lack what it needs.
 
     return lambda testbed: oracle_gateway_factory(testbed.servers, mean_work(experiment))
 
 
 class Simulation(Testbed):
-    """A fleet, its clients and its troubles."""
+    """A fleet of gateways and servers in simulated time, with its clients and faults.
+
+    Attributes:
+        gateways: The gateways, by number.
+        clients: The clients.
+    """
 
     kernel: Kernel
 
@@ -45,17 +53,32 @@
         self,
         experiment: Experiment,
         seed: int,
-        make: GatewayFactory = make_gateway,
+        gateway_factory: GatewayFactory = make_gateway,
         factory_builder: Callable[[Testbed], GatewayFactory] | None = None,
     ) -> None:
-        """`factory_builder`: makes `make` of what the world holds."""
+        """Create the fleet, and schedule its load and faults.
+
+        Args:
+            experiment: The experiment.
+            seed: The seed of the run.
+            gateway_factory: Creates the decision module of a gateway.
+            factory_builder: Builds a gateway factory from the testbed, in place of `gateway_factory`.
+        """
         kernel = Kernel()
         super().__init__(experiment, seed, kernel)
-        make = make if factory_builder is None else factory_builder(self)
-        surroundings = GatewayEnvironment(
-            kernel, experiment.fleet, self.network, self.servers, self.rules, experiment.rules, self.recorder, make
+        if factory_builder is not None:
+            gateway_factory = factory_builder(self)
+        environment = GatewayEnvironment(
+            kernel,
+            experiment.fleet,
+            self.network,
+            self.servers,
+            self.rules,
+            experiment.rules,
+            self.recorder,
+            gateway_factory,
         )
-        self.gateways = [GatewayHost(surroundings, number) for number in range(experiment.fleet.gateways)]
+        self.gateways = [GatewayHost(environment, number) for number in range(experiment.fleet.gateways)]
         self.discovery.listeners.extend(self.gateways)
         self.clients = ClientPopulation(
             kernel,
@@ -77,18 +100,18 @@
         kernel.at(SAMPLE_INTERVAL_S, self._sample)
 
     def run(self) -> dict[str, Any]:
-        """The whole day, or as much of it as is played until `interrupt`; the result as plain data."""
-        began = time.process_time()
-        last = self.experiment.seconds + max(c.deadline_s for c in self.experiment.classes) + FINAL_RESPONSES_S
-        self.kernel.run(last)
-        return self.result(time.process_time() - began)
+        """Run to the end or until `interrupt`, and return the result as plain data."""
+        started_at = time.process_time()
+        longest_deadline = max(kind.deadline_s for kind in self.experiment.classes)
+        self.kernel.run(self.experiment.seconds + longest_deadline + FINAL_RESPONSES_S)
+        return self.result(time.process_time() - started_at)
 
     def interrupt(self) -> None:
-        """Ends the play after the event at hand; what was measured so far is the result."""
+        """End the run after the current event; its result has the measurements so far."""
         self.kernel.stopped = True
 
     def reset_server(self, server: ServerModel) -> None:
-        """Every gateway learns that connections to the endpoint are reset."""
+        """Reset the connections of all gateways to the server."""
         for gateway in self.gateways:
             if gateway.up:
                 gateway.server_lost(server.id)
@@ -99,14 +122,14 @@
         )
 
     def kill_gateway(self, number: int, drained: bool = False) -> None:
-        """The process ends at once; what it holds gets no answer."""
+        """End the process of a gateway at once; its pending requests get no answer."""
         gateway = self.gateways[number]
         if not gateway.up:
             return
-        for held in gateway.pending.values():
-            if drained and not held.answered and not held.record.is_exempt:
+        for request in gateway.pending.values():
+            if drained and not request.answered and not request.record.is_exempt:
                 self.rules.report_violation(
-                    "one answer", self.kernel.now, f"request {held.record.id} is unanswered at the end of a drain"
+                    "one answer", self.kernel.now, f"request {request.record.id} is unanswered at the end of a drain"
                 )
         gateway.kill()
         self.recorder.count(self.kernel.now, "gateways ended" if drained else "gateways killed")
@@ -114,14 +137,14 @@
             self.clients.gateway_down(number)
 
     def terminate_gateway(self, number: int) -> None:
-        """The process is told to end; the load balancer turns away after a while."""
+        """Drain the gateway; the load balancer withdraws it after a delay."""
         gateway = self.gateways[number]
         if gateway.up:
             gateway.handle_event(DrainRequested(process_exits=True))
             self.kernel.after(LOAD_BALANCER_REACTION_S, self.clients.set_admitted, number, False)
 
     def start_gateway(self, number: int) -> None:
-        """A new process starts in its place."""
+        """Start a new process for a gateway whose process has ended."""
         gateway = self.gateways[number]
         if gateway.up:
             return
@@ -132,34 +155,37 @@
         self.clients.gateway_up(number)
 
     def pause_gateway(self, number: int, paused: bool) -> None:
-        """Stops the process, or lets it go on."""
+        """Stop the process of a gateway, or continue it."""
         gateway = self.gateways[number]
         if gateway.up and paused is not gateway.paused:
-            (gateway.pause if paused else gateway.resume)()
+            if paused:
+                gateway.pause()
+            else:
+                gateway.resume()
 
     def add_load_burst(self, start: float, end: float, factor: float, customers: int) -> None:
-        """Clients ask more for a while."""
+        """Multiply the rate of customers during a time."""
         self.clients.add_burst(start, end, factor, customers)
 
     def change_plans(self, plans: list[PlanKind]) -> None:
-        """All gateways get other plans at once."""
+        """Change the plans of all clients and running gateways at once."""
         self.clients.change_plans({plan.name: plan for plan in plans}, self.resize_bucket)
         for gateway in self.gateways:
             if gateway.up:
                 gateway.handle_event(SettingsChanged(gateway_settings(self.experiment, gateway.number, plans)))
 
     def _sample(self) -> None:
-        """Once a second: the servers as they are, and as some gateways see them."""
+        """Record once per interval the state of the servers, and their health as some gateways see it."""
         if self.kernel.now < self.experiment.seconds:
             self.kernel.after(SAMPLE_INTERVAL_S, self._sample)
-        second = self.kernel.now - SAMPLE_INTERVAL_S / 2  # what was done belongs to the second that ends here
+        second = self.kernel.now - SAMPLE_INTERVAL_S / 2  # The sample belongs to the interval that ends now.
         self.sample_servers(second)
-        live = [gateway for gateway in self.gateways if gateway.up]
-        self.recorder.set_gauge(second, "gateways", len(live))
-        some = live[:: max(1, len(live) // MAX_SAMPLED_GATEWAYS)]
+        running = [gateway for gateway in self.gateways if gateway.up]
+        self.recorder.set_gauge(second, "gateways", len(running))
+        sampled = running[:: max(1, len(running) // SAMPLED_GATEWAYS)]
         states: dict[str, float] = {}
-        for gateway in some:
+        for gateway in sampled:
             for key, count in gateway.health_counts().items():
-                states[key] = states.get(key, 0.0) + count / len(some)
+                states[key] = states.get(key, 0.0) + count / len(sampled)
         for key, value in states.items():
             self.recorder.set_gauge(second, key, value)
