--- a/ingress/emulator/clients.py
+++ b/ingress/emulator/clients.py
@@ -24,6 +24,8 @@
 ADMISSION_DELAY_S = 0.3  # From the start of a gateway until the load balancer sends to it.
 THINNING_WINDOW_S = 1.0  # Candidate arrivals are drawn at the highest rate within this time.
 BELOW_ONE = 1 - 1e-12  # Keeps a scaled draw below the last cumulative weight, so that bisect finds a valid index.
+MIN_SPREAD_RATIO = 0.7  # The smallest set of a customer, as a share of the greatest.
+IMPATIENCE_RANGE = (0.2, 0.9)  # When an impatient client disconnects, as a share of the time to the deadline.
 
 
 @dataclass(slots=True)
@@ -168,7 +170,9 @@
         count = len(self.gateways)
         max_gateways = min(count, max(2, int(plan.ceiling_burst / 2))) if plan.ceiling_rate else count
         nominal_gateways = self.spec.spread * count
-        gateway_count = min(max_gateways, max(1, round(nominal_gateways * self.arrival_random.uniform(0.7, 1.0))))
+        gateway_count = min(
+            max_gateways, max(1, round(nominal_gateways * self.arrival_random.uniform(MIN_SPREAD_RATIO, 1.0)))
+        )
         weights = [self.arrival_random.lognormal(1.0, self.spec.uneven) for _ in range(gateway_count)]
         self.customers.append(
             Customer(
@@ -331,7 +335,7 @@
         self.kernel.after(self.network.client_delay(), gateway.submit, request, event)
         self.kernel.at(now + remaining, self._deadline_passed, request)
         if self.choice_random.chance(self.spec.impatient):
-            self.kernel.after(remaining * self.choice_random.uniform(0.2, 0.9), self._disconnect, request)
+            self.kernel.after(remaining * self.choice_random.uniform(*IMPATIENCE_RANGE), self._disconnect, request)
 
     def _deadline_passed(self, request: PendingRequest) -> None:
         intent = request.intent
--- a/ingress/emulator/measure.py
+++ b/ingress/emulator/measure.py
@@ -10,6 +10,8 @@
 MIN_LATENCY_US = 1
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
+US_PER_S = 1e6
+SERIES_DECIMALS = 5
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -42,7 +44,7 @@
 
     def add(self, seconds: float) -> None:
         """Record a latency (s)."""
-        self.histogram.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, int(seconds * 1e6))))
+        self.histogram.record_value(max(MIN_LATENCY_US, min(MAX_LATENCY_US, int(seconds * US_PER_S))))
 
     def percentiles(self) -> dict[str, float]:
         """Return the percentiles in milliseconds; empty without a sample."""
@@ -88,6 +90,6 @@
     def series_rows(self) -> list[dict[str, Any]]:
         """Return the series as plain data, one row per second."""
         return [
-            {"second": second, **{key: round(value, 5) for key, value in sorted(counts.items())}}
+            {"second": second, **{key: round(value, SERIES_DECIMALS) for key, value in sorted(counts.items())}}
             for second, counts in sorted(self.series.items())
         ]
--- a/ingress/emulator/oracle.py
+++ b/ingress/emulator/oracle.py
@@ -18,6 +18,7 @@
 SHEDDING_FULL = 0.8  # Mean response time in latency objectives at which all requests are shed.
 # The state changes little within this interval, and the cost of an update grows with the number of servers.
 UPDATE_INTERVAL_S = 0.01
+LONG_AGO_S = -1e18  # Before any update.
 
 
 class TrueCongestion(CongestionEstimate):
@@ -36,7 +37,7 @@
         self.servers = servers
         self.mean_work = mean_work
         self.longest_objective = longest_objective
-        self.true_open_time_at = -1e18
+        self.true_open_time_at = LONG_AGO_S
         self.true_open_time = 0.0
 
     def mean_open_time(self, now: float) -> float:
@@ -62,9 +63,9 @@
 def oracle_gateway_factory(servers: Mapping[str, ServerModel], mean_work: float) -> GatewayFactory:
     """Return a factory of gateways that estimate congestion by the true state of the servers."""
 
-    def make(settings: Settings, seed: int) -> gateway.Gateway:
+    def create_gateway(settings: Settings, seed: int) -> gateway.Gateway:
         longest_objective = max(request_class.latency_objective for request_class in settings.classes)
         congestion = TrueCongestion(servers, mean_work, longest_objective)
         return gateway.Gateway(settings, seed, lambda settings, rng: Cluster(settings, rng, congestion))
 
-    return make
+    return create_gateway
--- a/ingress/emulator/rules.py
+++ b/ingress/emulator/rules.py
@@ -16,6 +16,7 @@
 # The collapse of a cold server is a violation if at least this share of its work came from gateways that had been
 # notified of its start; other gateways can't know that it is cold.
 MIN_INFORMED_WORK_RATIO = 2 / 3
+ROUNDING_TOLERANCE_UNITS = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +225,7 @@
         bucket.refill(now)
         bucket.level -= request.units
         self.lowest_ceiling_ratio = min(self.lowest_ceiling_ratio, bucket.level / plan.ceiling_burst)
-        if bucket.level < -plan.ceiling_slack - 1e-9:
+        if bucket.level < -plan.ceiling_slack - ROUNDING_TOLERANCE_UNITS:
             self.report_violation(
                 "ceiling",
                 now,
--- a/ingress/emulator/servers.py
+++ b/ingress/emulator/servers.py
@@ -10,8 +10,10 @@
 from ingress.emulator.experiment import Fleet
 from ingress.emulator.kernel import Clock, RandomStream
 
+SERVERS_PER_CELL = 4
 IMMEDIATE_ERROR_S = 0.002  # The duration of an error response, which needs no work.
 FULL_TABLE_CAPACITY_LOSS_RATIO = 0.1  # The share of its capacity that a server with a full connection table loses.
+EARLIEST_START_S = 1e-3  # A start at 0 would stand for one long before the run.
 
 
 class ServerAttempt(Protocol):
@@ -101,7 +103,7 @@
         self.random = draws
         self.id = name
         self.zone = number % fleet.zones
-        self.cell = number // 4
+        self.cell = number // SERVERS_PER_CELL
         self.cores = fleet.cores
         self.speed = draws.uniform(*fleet.speed)
         self.incarnation = 0
@@ -212,4 +214,4 @@
         self.is_reachable = True
         self.is_draining = False
         self.defect = None
-        self.started_at = max(self.kernel.now, 1e-3)
+        self.started_at = max(self.kernel.now, EARLIEST_START_S)
--- a/ingress/emulator/testbed.py
+++ b/ingress/emulator/testbed.py
@@ -19,6 +19,9 @@
 STREAMS = ("arrivals", "front", "servers", "network", "listing", "faults", "seeds")
 LOAD_BALANCER_REACTION_S = 0.1  # From SIGTERM until the load balancer has read that the gateway is not ready.
 SAMPLE_INTERVAL_S = 1.0  # Between samples of the states of servers and gateways.
+TIMER_RESOLUTION_S = 0.002
+DISCOVERY_POLL_DEADLINE_S = 10.0
+HEALTH_CHECK_COST = 0.01
 
 
 def zone_name(number: int) -> str:
@@ -33,48 +36,48 @@
     return Settings(
         classes=tuple(
             RequestClass(
-                c.name,
-                c.aim_s,
-                c.deadline_s,
-                c.worth,
-                c.late_worth,
-                Idempotency(c.semantics),
-                KeyScope(c.scope),
-                c.window_s,
+                kind.name,
+                kind.aim_s,
+                kind.deadline_s,
+                kind.worth,
+                kind.late_worth,
+                Idempotency(kind.semantics),
+                KeyScope(kind.scope),
+                kind.window_s,
             )
-            for c in experiment.classes
+            for kind in experiment.classes
         ),
         plans=tuple(
             Plan(
-                p.name,
-                p.rate,
-                p.burst,
-                p.at_once,
-                p.price,
+                plan.name,
+                plan.rate,
+                plan.burst,
+                plan.at_once,
+                plan.price,
                 0.0,
-                p.over_cost,
-                p.ceiling_rate,
-                p.ceiling_burst,
-                p.ceiling_slack,
+                plan.over_cost,
+                plan.ceiling_rate,
+                plan.ceiling_burst,
+                plan.ceiling_slack,
             )
-            for p in plans
+            for plan in plans
         ),
         gateway_index=number,
         gateway_count=fleet.gateways,
         zone=zone_name(number % fleet.zones),
-        timer_resolution=0.002,
+        timer_resolution=TIMER_RESOLUTION_S,
         answer_slack=rules.answer_slack_s,
         drain_grace=rules.drain_grace_s,
         slow_start_duration=fleet.cold_s,
         slow_start_initial_capacity=fleet.cold_share,
         overload_factor=rules.fall_factor,
         overload_window=rules.fall_s,
-        discovery_poll_deadline=10.0,
+        discovery_poll_deadline=DISCOVERY_POLL_DEADLINE_S,
         max_attempts=fleet.max_attempts,
         hedging_allowed=fleet.second_copies,
         cancellation_allowed=True,
         health_checks_allowed=fleet.probes,
-        health_check_cost=0.01,
+        health_check_cost=HEALTH_CHECK_COST,
     )
 
 
