--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -1,4 +1,4 @@
-"""The emulator in simulated time: the same seed is the same play, rules that break are found, days stay bounded."""
+"""The emulator in simulated time: runs are reproducible, violations of rules are found, and memory stays bounded."""
 
 from __future__ import annotations
 
@@ -73,123 +73,131 @@
     return build_experiment(source | changes)
 
 
-def exact(one: Experiment, seed: int, make: GatewayFactory = Gateway) -> dict[str, Any]:
-    found: dict[str, Any] = Simulation(one, seed, make).run()["exact"]
-    return found
+def run_exact(spec: Experiment, seed: int, gateway_factory: GatewayFactory = Gateway) -> dict[str, Any]:
+    result: dict[str, Any] = Simulation(spec, seed, gateway_factory).run()["exact"]
+    return result
 
 
-def test_the_same_seed_gives_the_same_play_over_a_hundred_seeds() -> None:
-    one = experiment(FAULTS[0], FAULTS[4], seconds=2.0, fleet={"gateways": 2, "servers": 4})
-    plays = [json.dumps(exact(one, seed), sort_keys=True) for seed in range(100)]
-    assert [json.dumps(exact(one, seed), sort_keys=True) for seed in range(100)] == plays
-    assert len(set(plays)) == 100  # and seeds differ
+def test_the_same_seed_gives_the_same_result_over_a_hundred_seeds() -> None:
+    spec = experiment(FAULTS[0], FAULTS[4], seconds=2.0, fleet={"gateways": 2, "servers": 4})
+    results = [json.dumps(run_exact(spec, seed), sort_keys=True) for seed in range(100)]
+    assert [json.dumps(run_exact(spec, seed), sort_keys=True) for seed in range(100)] == results
+    assert len(set(results)) == 100  # The results of different seeds differ.
 
 
-def test_another_process_with_another_order_of_hashes_plays_the_same(tmp_path: Path) -> None:
+def test_a_process_with_another_hash_seed_gives_the_same_result(tmp_path: Path) -> None:
     path = tmp_path / "one.toml"
     path.write_text(to_toml(experiment(FAULTS[0], FAULTS[4])), encoding="utf-8")
-    said = [
+    outputs = [
         subprocess.run(
             [sys.executable, "-m", "ingress.emulator.play", str(path), "7", str(tmp_path), "now"],
             cwd=ROOT,
-            env=os.environ | {"PYTHONHASHSEED": order},
+            env=os.environ | {"PYTHONHASHSEED": hash_seed},
             capture_output=True,
             check=True,
         ).stdout
-        for order in ("1", "2")
+        for hash_seed in ("1", "2")
     ]
-    first, second = (json.loads(text)["exact"] for text in said)
-    assert first == second == json.loads(json.dumps(exact(load_experiment(path), 7)))
+    first, second = (json.loads(text)["exact"] for text in outputs)
+    assert first == second == json.loads(json.dumps(run_exact(load_experiment(path), 7)))
 
 
-def test_versions_meet_the_same_first_tries_whatever_they_decide() -> None:
-    class Refuses(Gateway):
+def test_versions_receive_the_same_first_submissions_whatever_they_decide() -> None:
+    class RejectingGateway(Gateway):
         def handle(self, now: float, event: Event) -> list[Action]:
             return (
                 [RejectRequest(event.request_id)] if isinstance(event, RequestReceived) else super().handle(now, event)
             )
 
-    one = experiment(FAULTS[13])
-    firsts = [
-        [(row["second"], row.get("first tries")) for row in exact(one, 3, make)["series"] if row["second"] < 3]
-        for make in (Gateway, Refuses)
+    spec = experiment(FAULTS[13])
+    first_submissions = [
+        [(row["second"], row.get("first tries")) for row in run_exact(spec, 3, factory)["series"] if row["second"] < 3]
+        for factory in (Gateway, RejectingGateway)
     ]
-    assert firsts[0] == firsts[1]
+    assert first_submissions[0] == first_submissions[1]
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: "-".join(str(fault.get(k, "")) for k in ("kind", "mode")))
-def test_each_fault_is_felt_and_breaks_no_rule(fault: dict[str, Any]) -> None:
-    base = [FAULTS[3]] if fault["kind"] == "discovery-down" else []  # without news its silence is not felt
-    calm, found = exact(experiment(*base), 5), exact(experiment(*base, fault), 5)
+def test_each_fault_has_an_effect_and_causes_no_violation(fault: dict[str, Any]) -> None:
+    # An outage of discovery has an effect only if there are changes to publish.
+    base = [FAULTS[3]] if fault["kind"] == "discovery-down" else []
+    baseline = run_exact(experiment(*base), 5)
+    found = run_exact(experiment(*base, fault), 5)
     assert found["broken"] == {}
-    assert found["totals"] != calm["totals"]
-    assert found["totals"]["served"] > 0.3 * calm["totals"]["served"]
+    assert found["totals"] != baseline["totals"]
+    assert found["totals"]["served"] > 0.3 * baseline["totals"]["served"]
     ends = sum(found["totals"].get(key, 0) for key in ("served", "served late", "unserved", "left by clients"))
-    assert ends == found["totals"]["first tries"]  # every wish ends once
+    assert ends == found["totals"]["first tries"]  # Each request ends once.
 
 
-# Faults planted in the decisions, each to be found by its rule.
+# Bugs injected into the decision module, each of which must be found by its rule.
 
 
-def planted(
+def inject(
     change: Callable[[Gateway, float, Event, list[Action]], list[Action]],
     adapt: Callable[[Settings], Settings] = lambda settings: settings,
 ) -> GatewayFactory:
-    class Planted(Gateway):
+    class BuggyGateway(Gateway):
         def handle(self, now: float, event: Event) -> list[Action]:
             return change(self, now, event, super().handle(now, event))
 
-    return lambda settings, seed: Planted(adapt(settings), seed)
+    return lambda settings, seed: BuggyGateway(adapt(settings), seed)
 
 
-def swallow(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
-    return [a for a in actions if not isinstance(a, RejectRequest) or int(a.request_id.partition(".")[0], 16) % 50]
+def drop_rejections(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
+    return [
+        action
+        for action in actions
+        if not isinstance(action, RejectRequest) or int(action.request_id.partition(".")[0], 16) % 50
+    ]
 
 
-def again(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
-    """Sends what may have run once more, whatever it is."""
+def resend_after_error(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
+    """Send a request again that may have run, whatever its idempotency."""
     if isinstance(event, AttemptEnded) and event.outcome is Outcome.ERROR and not event.attempt:
-        kept = [a for a in actions if not isinstance(a, RejectRequest | FailRequest)]
-        return [*kept, StartAttempt(event.request_id, event.endpoint_id, 0.5)]
+        other_actions = [action for action in actions if not isinstance(action, RejectRequest | FailRequest)]
+        return [*other_actions, StartAttempt(event.request_id, event.endpoint_id, 0.5)]
     return actions
 
 
-def twice(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
-    return [a for a in actions for _ in range(3 if isinstance(a, StartAttempt) else 1)]
+def send_three_times(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
+    return [action for action in actions for _ in range(3 if isinstance(action, StartAttempt) else 1)]
 
 
-def late(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
-    """Sends after the end."""
+def send_after_rejection(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
+    """Send an attempt of a request that was rejected."""
     return actions + [
-        StartAttempt(a.request_id, next(iter(gateway.cluster.endpoints.by_id)), 0.5)
-        for a in actions
-        if isinstance(a, RejectRequest)
+        StartAttempt(action.request_id, next(iter(gateway.cluster.endpoints.by_id)), 0.5)
+        for action in actions
+        if isinstance(action, RejectRequest)
     ]
 
 
-def keep(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
+def keep_actions(gateway: Gateway, now: float, event: Event, actions: list[Action]) -> list[Action]:
     return actions
 
 
-class Deaf(Gateway):
-    """Hears of no server that leaves."""
+class DrainIgnoringGateway(Gateway):
+    """Ignores that servers leave."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
         if isinstance(event, EndpointsChanged) and event.kind is EndpointListKind.UPDATE:
-            event = replace(event, endpoints=tuple(replace(b, readiness=Readiness.READY) for b in event.endpoints))
+            event = replace(
+                event, endpoints=tuple(replace(entry, readiness=Readiness.READY) for entry in event.endpoints)
+            )
         return super().handle(now, event)
 
 
 @pytest.mark.parametrize(
-    ("rule", "make", "changes"),
+    ("rule", "gateway_factory", "changes"),
     [
-        ("one answer", planted(swallow), {}),
-        ("no effect twice", planted(again), {"faults": [FAULTS[8]]}),
-        ("copies", planted(twice), {}),
-        ("nothing after the end", planted(late), {}),
+        ("one answer", inject(drop_rejections), {}),
+        ("no effect twice", inject(resend_after_error), {"faults": [FAULTS[8]]}),
+        ("copies", inject(send_three_times), {}),
+        ("nothing after the end", inject(send_after_rejection), {}),
         (
             "drain",
-            Deaf,
+            DrainIgnoringGateway,
             {
                 "seconds": 6.0,
                 "rules": {"drain_grace_s": 0.5},
@@ -198,12 +206,14 @@
         ),
         (
             "ceiling",
-            planted(keep, lambda s: replace(s, plans=tuple(replace(p, rate=0.0, ceiling_rate=0.0) for p in s.plans))),
+            inject(
+                keep_actions, lambda s: replace(s, plans=tuple(replace(p, rate=0.0, ceiling_rate=0.0) for p in s.plans))
+            ),
             {"load": {"heavy": 1.0, "heavy_x": 6.0, "use": 0.1}, "seconds": 5.0},
         ),
         (
             "cold",
-            planted(keep, lambda s: replace(s, slow_start_duration=0.0)),
+            inject(keep_actions, lambda s: replace(s, slow_start_duration=0.0)),
             {
                 "fleet": {"cold_share": 0.05, "cold_s": 20},
                 "rules": {"fall_factor": 1.0},
@@ -215,69 +225,75 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "",
 )
-def test_a_broken_rule_that_was_planted_is_found(rule: str, make: GatewayFactory, changes: dict[str, Any]) -> None:
-    one = experiment(**changes)
-    assert exact(one, 2)["broken"] == {}
-    assert exact(one, 2, make)["broken"].get(rule, 0) > 0
+def test_an_injected_violation_is_found(rule: str, gateway_factory: GatewayFactory, changes: dict[str, Any]) -> None:
+    spec = experiment(**changes)
+    assert run_exact(spec, 2)["broken"] == {}
+    assert run_exact(spec, 2, gateway_factory)["broken"].get(rule, 0) > 0
 
 
-def test_a_rule_that_breaks_is_shrunk_to_a_smaller_experiment_that_breaks_it_too() -> None:
-    one = experiment(*FAULTS[:4], seconds=6.0)
-    small = shrink(one, "one answer", lambda found: exact(found, 2, planted(swallow))["broken"], max_plays=40)
-    assert exact(small, 2, planted(swallow))["broken"]["one answer"] > 0
+def test_an_experiment_is_shrunk_to_a_smaller_one_that_violates_the_same_rule() -> None:
+    spec = experiment(*FAULTS[:4], seconds=6.0)
+    small = shrink(
+        spec, "one answer", lambda found: run_exact(found, 2, inject(drop_rejections))["broken"], max_plays=40
+    )
+    assert run_exact(small, 2, inject(drop_rejections))["broken"]["one answer"] > 0
     assert (len(small.faults), small.seconds <= 3.0, small.fleet.gateways <= 2) == (0, True, True)
     assert read_experiment(to_toml(small)) == small
 
 
-def test_gateways_that_see_the_servers_shed_by_their_queues() -> None:
-    one = experiment(
+def test_gateways_with_the_true_state_of_the_servers_shed_load_by_their_queues() -> None:
+    spec = experiment(
         {"kind": "burst", "at": 1, "lasts": 2, "factor": 6.0},
         versions=[{"name": "now"}, {"name": "sees", "sees": True}],
     )
-    assert factory_builder("now", one) is None
-    world = Simulation(one, 1, factory_builder=factory_builder("sees", one))
-    gateway = world.gateways[0].decisions
+    assert factory_builder("now", spec) is None
+    simulation = Simulation(spec, 1, factory_builder=factory_builder("sees", spec))
+    gateway = simulation.gateways[0].decisions
     assert isinstance(gateway, Gateway)
-    aim, work = 0.6, one.load.work_ms / 1000
-    pace = sum(server.pace() * server.cores for server in world.servers.values()) / len(world.servers)
-    for now, held in ((10.0, 0), (20.0, 2), (30.0, 10)):
-        for server in world.servers.values():
-            server.busy = held
-        slowed = sum(server.pace() * server.cores for server in world.servers.values()) / len(world.servers)
-        assert slowed <= pace
-        aims = max(2, held) * work / slowed / aim  # two cores: what is held, one behind another, on both
+    latency_objective = 0.6
+    work = spec.load.work_ms / 1000
+    pace = sum(server.pace() * server.cores for server in simulation.servers.values()) / len(simulation.servers)
+    for now, busy in ((10.0, 0), (20.0, 2), (30.0, 10)):
+        for server in simulation.servers.values():
+            server.busy = busy
+        slowed_pace = sum(server.pace() * server.cores for server in simulation.servers.values()) / len(
+            simulation.servers
+        )
+        assert slowed_pace <= pace
+        objectives = max(2, busy) * work / slowed_pace / latency_objective  # The requests run one by one on two cores.
         assert gateway.cluster.load_shedder.saturation(now) == pytest.approx(
-            (aims - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START)
+            (objectives - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START)
         )
-    found = Simulation(one, 1, factory_builder=factory_builder("sees", one)).run()["exact"]
-    assert found["broken"] == {} and found["totals"] != exact(one, 1)["totals"]
+    found = Simulation(spec, 1, factory_builder=factory_builder("sees", spec)).run()["exact"]
+    assert found["broken"] == {} and found["totals"] != run_exact(spec, 1)["totals"]
 
 
-def test_an_interrupted_play_tells_what_it_measured() -> None:
-    world = Simulation(experiment(seconds=3.0), 1)
-    world.kernel.at(1.5, world.interrupt)
-    found = world.run()["exact"]
+def test_an_interrupted_run_returns_its_measurements() -> None:
+    simulation = Simulation(experiment(seconds=3.0), 1)
+    simulation.kernel.at(1.5, simulation.interrupt)
+    found = simulation.run()["exact"]
     assert (found["whole"], found["seconds"]) == (False, 1.5)
-    whole = exact(experiment(seconds=3.0), 1)
-    assert found["series"][0] == whole["series"][0]  # the same day, cut short
+    complete = run_exact(experiment(seconds=3.0), 1)
+    assert found["series"][0] == complete["series"][0]  # The same run, ended early.
 
 
-def test_a_long_day_holds_no_more_than_a_short_one() -> None:
-    def held(seconds: float) -> tuple[int, int]:
-        world = Simulation(experiment(seconds=seconds, load={"use": 0.3}, fleet={"gateways": 2, "servers": 2}), 1)
-        world.run()
+def test_a_long_run_retains_no_more_state_than_a_short_one() -> None:
+    def retained_state(seconds: float) -> tuple[int, int]:
+        simulation = Simulation(experiment(seconds=seconds, load={"use": 0.3}, fleet={"gateways": 2, "servers": 2}), 1)
+        simulation.run()
         gc.collect()
         return (
-            world.kernel.pending(),
-            sum(len(g.pending) + sum(map(len, g.open_attempts.values())) for g in world.gateways),
+            simulation.kernel.pending(),
+            sum(len(g.pending) + sum(map(len, g.open_attempts.values())) for g in simulation.gateways),
         )
 
-    short, long = held(5.0), held(50.0)
+    short = retained_state(5.0)
+    long = retained_state(50.0)
     assert long[1] == short[1] == 0
-    assert long[0] <= short[0] + 10  # timers of the modules; nothing of requests that are over
+    assert long[0] <= short[0] + 10  # Timers of the decision modules, and no calls of ended requests.
 
 
-def test_every_fault_of_an_experiment_is_named_with_its_key() -> None:
+def test_every_error_of_an_experiment_is_reported_with_its_key() -> None:
     with pytest.raises(ExperimentError) as error:
         read_experiment("""
             name = ""
@@ -292,9 +308,9 @@
             kind = "earthquake"
             at = 1
         """)
-    told = "\n".join(error.value.faults)
+    reported = "\n".join(error.value.faults)
     for key in ("name", "seconds", "colour", "fleet.gateways", "faults.0.lose-zone.at", "faults.1"):
-        assert any(line.startswith(key + ":") for line in error.value.faults), (key, told)
+        assert any(line.startswith(key + ":") for line in error.value.faults), (key, reported)
 
 
 @pytest.mark.parametrize(
@@ -312,7 +328,7 @@
         ({"seeds": [1, 1]}, "seeds"),
     ],
 )
-def test_what_can_not_hold_together_is_named(changes: dict[str, Any], key: str) -> None:
+def test_contradicting_settings_are_reported(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ExperimentError) as error:
         experiment(**changes)
     assert [line for line in error.value.faults if line.startswith(key + ":")]
@@ -320,63 +336,68 @@
 
 @settings(max_examples=50, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.lists(st.tuples(st.floats(0, 10), st.integers(0, 3)), max_size=40))
-def test_calls_come_in_the_order_of_their_times_and_of_their_making(calls: list[tuple[float, int]]) -> None:
-    kernel, seen = Kernel(), list[tuple[float, int]]()
+def test_calls_run_in_the_order_of_their_times_and_of_their_scheduling(calls: list[tuple[float, int]]) -> None:
+    kernel = Kernel()
+    seen: list[tuple[float, int]] = []
 
-    def call(number: int, more: int) -> None:
+    def call(number: int, nested_calls: int) -> None:
         seen.append((kernel.now, number))
-        for step in range(more):
+        for step in range(nested_calls):
             kernel.after(step / 2, call, 1000 + len(seen), 0)
 
-    for number, (when, more) in enumerate(calls):
-        kernel.at(when, call, number, more)
+    for number, (when, nested_calls) in enumerate(calls):
+        kernel.at(when, call, number, nested_calls)
     kernel.run(100.0)
     assert [when for when, _ in seen] == sorted(when for when, _ in seen)
-    assert kernel.events == len(calls) + sum(more for _, more in calls)
-    firsts = [number for _, number in seen if number < 1000]
-    assert firsts == sorted(range(len(calls)), key=lambda number: (calls[number][0], number))
+    assert kernel.events == len(calls) + sum(nested_calls for _, nested_calls in calls)
+    scheduled_first = [number for _, number in seen if number < 1000]
+    assert scheduled_first == sorted(range(len(calls)), key=lambda number: (calls[number][0], number))
 
 
-def test_a_further_stream_changes_none_of_those_before() -> None:
+def test_an_appended_stream_changes_no_stream_before_it() -> None:
     few, more = random_streams(1, ("a", "b")), random_streams(1, ("a", "b", "c"))
     assert [few["b"].uniform() for _ in range(5)] == [more["b"].uniform() for _ in range(5)]
 
 
-def test_lognormal_draws_have_the_mean_and_the_deviation_that_were_asked_for() -> None:
-    draws = random_streams(1, ("a",))["a"]
-    found = [draws.lognormal(0.075, 1.0) for _ in range(40_000)]
-    mean = sum(found) / len(found)
+def test_lognormal_draws_have_the_requested_mean_and_coefficient_of_variation() -> None:
+    stream = random_streams(1, ("a",))["a"]
+    drawn = [stream.lognormal(0.075, 1.0) for _ in range(40_000)]
+    mean = sum(drawn) / len(drawn)
     assert mean == pytest.approx(0.075, rel=0.03)
-    assert (sum((x - mean) ** 2 for x in found) / len(found)) ** 0.5 == pytest.approx(0.075, rel=0.1)
-    assert isinstance(draws, RandomStream)
+    assert (sum((value - mean) ** 2 for value in drawn) / len(drawn)) ** 0.5 == pytest.approx(0.075, rel=0.1)
+    assert isinstance(stream, RandomStream)
 
 
-def test_a_cold_server_is_pushed_over_only_by_those_who_knew() -> None:
-    one = experiment(fleet={"cold_s": 10}, rules={"fall_factor": 2.0, "fall_s": 1.0})
-    for knew, broken in ((True, 1), (False, 0)):
-        rules = RuleChecker(one, 0.125)
-        fell = [rules.add_work(5.0 + n / 100, "s", 0.125, knew, 1.0, True) for n in range(21)]
-        # 2 s of work in the window and four mean requests for chance: the 21st is too much.
-        assert fell == [False] * 20 + [True]
-        assert rules.counts["cold"] == broken
+def test_the_collapse_of_a_cold_server_is_a_violation_only_if_gateways_knew_of_its_start() -> None:
+    spec = experiment(fleet={"cold_s": 10}, rules={"fall_factor": 2.0, "fall_s": 1.0})
+    for is_informed, violations in ((True, 1), (False, 0)):
+        rules = RuleChecker(spec, 0.125)
+        collapsed = [rules.add_work(5.0 + n / 100, "s", 0.125, is_informed, 1.0, True) for n in range(21)]
+        # The budget is 2 s of work in the window and four mean requests: the 21st request exceeds it.
+        assert collapsed == [False] * 20 + [True]
+        assert rules.counts["cold"] == violations
 
 
-def test_a_refusal_of_what_may_have_run_is_a_break() -> None:
-    one = experiment()
-    rules, pay = RuleChecker(one, 0.1), one.classes[2]
-    record = RequestRecord("1.1", pay, one.plans[0], 1, 1.0, 10.0)
+def test_the_rejection_of_a_request_that_may_have_run_is_a_violation() -> None:
+    spec = experiment()
+    rules = RuleChecker(spec, 0.1)
+    pay = spec.classes[2]
+    record = RequestRecord("1.1", pay, spec.plans[0], 1, 1.0, 10.0)
     rules.check_attempt(1.0, record, "s", 0, 0)
     rules.end_attempt(record, 0, Outcome.REJECTED)
     rules.check_rejection(1.1, record)
-    assert not rules.counts  # a full server proves that it never ran
+    assert not rules.counts  # A rejection by the server proves that the attempt never ran.
     rules.check_attempt(1.2, record, "s", 0, 0)
     rules.end_attempt(record, 1, Outcome.RESET)
     rules.check_rejection(1.3, record)
     assert rules.counts == {"no effect twice": 1}
 
 
-def test_thousands_of_servers_are_held_in_bounded_memory(tmp_path: Path) -> None:
-    """A third of them vanishes and returns; about a kilobyte for each gateway and server is what it may take."""
+def test_thousands_of_servers_need_bounded_memory(tmp_path: Path) -> None:
+    """A third of the servers vanishes and returns.
+
+    A pair of a gateway and a server should take about 1 KiB; the limit is 2 KiB, in addition to 80 MiB for the program.
+    """
     path = tmp_path / "many.toml"
     path.write_text(
         to_toml(
@@ -395,13 +416,13 @@
     code = (
         "import sys; from ingress.emulator.play import main; main(sys.argv[1:]); "
         "print(open('/proc/self/status').read().split('VmHWM:')[1].split()[0])"
-    )  # ru_maxrss outlives exec
-    said = subprocess.run(
+    )  # VmHWM, as ru_maxrss survives exec.
+    lines = subprocess.run(
         [sys.executable, "-c", code, str(path), "1", str(tmp_path), "now"],
         cwd=ROOT,
         capture_output=True,
         check=True,
         text=True,
     ).stdout.split("\n")
-    assert json.loads(said[0])["exact"]["broken"] == {}
-    assert int(said[1]) < (80 << 10) + 2 * 40 * 2000  # KiB: the program, and two for each pair
+    assert json.loads(lines[0])["exact"]["broken"] == {}
+    assert int(lines[1]) < (80 << 10) + 2 * 40 * 2000  # In KiB: the program, and 2 for each pair.
