--- a/ingress/emulator/live/clients.py
+++ b/ingress/emulator/live/clients.py
@@ -118,7 +118,7 @@
 
 
 class Caller:
-    """All connections to one ingress, as `ingress.emulator.gateways.Taker`."""
+    """All connections to one ingress, as `ingress.emulator.gateways.RequestTarget`."""
 
     def __init__(
         self, kernel: Clock, number: int, address: tuple[str, int], checks: Checks, tls: ssl.SSLContext | None = None
--- a/ingress/emulator/rules.py
+++ b/ingress/emulator/rules.py
@@ -112,6 +112,19 @@
         return any(not attempt.never_ran for attempt in self.attempts)
 
 
+@dataclass(slots=True)
+class WindowWork:
+    """The work that reached a cold server within the window.
+
+    Attributes:
+        total: All work (s).
+        informed: The work from gateways that had been notified of the server's start (s).
+    """
+
+    total: float = 0.0
+    informed: float = 0.0
+
+
 class RuleChecker:
     """Counts all violations, and describes the first ones.
 
@@ -135,8 +148,7 @@
         self.lowest_ceiling_ratio = 1.0
         # For each cold server the arrivals of the window: time, work, and whether the gateway knew of its start.
         self._arrivals: dict[str, deque[tuple[float, float, bool]]] = {}
-        # For each cold server two sums over the window: all work, and the work from informed gateways.
-        self._window_work: dict[str, list[float]] = {}
+        self._window_work: dict[str, WindowWork] = {}
 
     def report_violation(self, rule: str, now: float, text: str) -> None:
         """Count a violation, and keep the texts of the first ones."""
@@ -267,22 +279,22 @@
             self._window_work.pop(server, None)
             return False
         window = self._arrivals.setdefault(server, deque())
-        sums = self._window_work.setdefault(server, [0.0, 0.0])
+        window_work = self._window_work.setdefault(server, WindowWork())
         window.append((now, work, is_informed))
-        sums[0] += work
-        sums[1] += work * is_informed
+        window_work.total += work
+        window_work.informed += work * is_informed
         while window[0][0] < now - self.limits.fall_s:
             _, expired_work, was_informed = window.popleft()
-            sums[0] -= expired_work
-            sums[1] -= expired_work * was_informed
+            window_work.total -= expired_work
+            window_work.informed -= expired_work * was_informed
         budget = self.limits.fall_factor * capacity * self.limits.fall_s + COLD_BUDGET_SLACK_REQUESTS * self.mean_work
-        if sums[0] <= budget:
+        if window_work.total <= budget:
             return False
-        if sums[1] >= MIN_INFORMED_WORK_RATIO * sums[0]:
+        if window_work.informed >= MIN_INFORMED_WORK_RATIO * window_work.total:
             self.report_violation(
                 "cold",
                 now,
-                f"{server} collapsed under {sums[0]:.2f} s of work within "
+                f"{server} collapsed under {window_work.total:.2f} s of work within "
                 f"{self.limits.fall_s:g} s, its limit is {budget:.2f} s",
             )
         return True
--- a/ingress/emulator/testbed.py
+++ b/ingress/emulator/testbed.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from abc import ABC, abstractmethod
-from dataclasses import asdict
+from dataclasses import asdict, dataclass
 from typing import Any
 
 from ingress.decisions.endpoint import Endpoint, Readiness
@@ -16,12 +16,14 @@
 from ingress.emulator.rules import RuleChecker, TokenBucket
 from ingress.emulator.servers import ServerModel
 
-STREAMS = ("arrivals", "front", "servers", "network", "listing", "faults", "seeds")
+# Append new names at the end, as each stream depends on the position of its name.
+RANDOM_STREAM_NAMES = ("arrivals", "front", "servers", "network", "listing", "faults", "seeds")
 LOAD_BALANCER_REACTION_S = 0.1  # From SIGTERM until the load balancer has read that the gateway is not ready.
 SAMPLE_INTERVAL_S = 1.0  # Between samples of the states of servers and gateways.
 TIMER_RESOLUTION_S = 0.002
 DISCOVERY_POLL_DEADLINE_S = 10.0
 HEALTH_CHECK_COST = 0.01
+RESULT_DECIMALS = 6
 
 
 def zone_name(number: int) -> str:
@@ -81,6 +83,23 @@
     )
 
 
+@dataclass(slots=True)
+class ServerTotals:
+    """Sums over the running servers in a sample.
+
+    Attributes:
+        completed_work: The work that they completed in the interval (s).
+        possible_work: The work that they can do in an interval (s).
+        queued: The requests in their queues.
+        count: The number of servers.
+    """
+
+    completed_work: float = 0.0
+    possible_work: float = 0.0
+    queued: float = 0.0
+    count: float = 0.0
+
+
 class Testbed(ABC):
     """The parts of a run, and the operations of which faults consist.
 
@@ -101,7 +120,7 @@
         self.experiment = experiment
         self.seed = seed
         self.kernel = kernel
-        self.random = random_streams(seed, STREAMS)
+        self.random = random_streams(seed, RANDOM_STREAM_NAMES)
         self.recorder = Recorder()
         self.network = NetworkModel(experiment.network, self.random["network"])
         self.servers: dict[str, ServerModel] = {}
@@ -255,23 +274,22 @@
 
     def sample_servers(self, second: float) -> None:
         """Record the work and the state of the servers in the interval that ends now."""
-        # Sums of the completed work, the possible work, the queued requests and the servers.
-        totals = {"warm": [0.0] * 4, "cold": [0.0] * 4}
+        totals_by_state = {"warm": ServerTotals(), "cold": ServerTotals()}
         for server in self.servers.values():
-            done = server.work_done - self._work_done.get(server.id, 0.0)
+            completed_work = server.work_done - self._work_done.get(server.id, 0.0)
             self._work_done[server.id] = server.work_done
             if not server.is_running or server.is_draining:
                 continue
-            sums = totals["cold" if server.is_warming_up() else "warm"]
-            sums[0] += done
-            sums[1] += server.capacity() * SAMPLE_INTERVAL_S
-            sums[2] += len(server.queue)
-            sums[3] += 1
-        for name, (done, possible, queued, count) in totals.items():
-            self.recorder.set_gauge(second, f"servers.{name}", count)
-            if possible:
-                self.recorder.set_gauge(second, f"use.{name}", done / possible)
-                self.recorder.set_gauge(second, f"waiting.{name}", queued)
+            totals = totals_by_state["cold" if server.is_warming_up() else "warm"]
+            totals.completed_work += completed_work
+            totals.possible_work += server.capacity() * SAMPLE_INTERVAL_S
+            totals.queued += len(server.queue)
+            totals.count += 1
+        for state, totals in totals_by_state.items():
+            self.recorder.set_gauge(second, f"servers.{state}", totals.count)
+            if totals.possible_work:
+                self.recorder.set_gauge(second, f"use.{state}", totals.completed_work / totals.possible_work)
+                self.recorder.set_gauge(second, f"waiting.{state}", totals.queued)
         self.recorder.set_gauge(second, "connections", sum(server.connections for server in self.servers.values()))
 
     def result(self, cpu: float) -> dict[str, Any]:
@@ -288,17 +306,17 @@
     latencies = sorted(recorder.latencies.items())
     exact = {
         "seed": seed,
-        "seconds": round(kernel.now, 6),
+        "seconds": round(kernel.now, RESULT_DECIMALS),
         "whole": not kernel.stopped,
         "events": kernel.events,
-        "worth": {key: round(weights[key], 6) for key in ("offered", "earned", "over cost")},
-        "good": round((weights["earned"] - weights["over cost"]) / (weights["offered"] or 1.0), 6),
-        "totals": {key: round(value, 6) for key, value in sorted(recorder.totals.items())},
+        "worth": {key: round(weights[key], RESULT_DECIMALS) for key in ("offered", "earned", "over cost")},
+        "good": round((weights["earned"] - weights["over cost"]) / (weights["offered"] or 1.0), RESULT_DECIMALS),
+        "totals": {key: round(value, RESULT_DECIMALS) for key, value in sorted(recorder.totals.items())},
         "latency_ms": {name: latency.percentiles() for name, latency in latencies},
         "histograms": {name: encode_histogram(latency.histogram) for name, latency in latencies},
         "broken": dict(sorted(rules.counts.items())),
         "breaks": [asdict(violation) for violation in rules.violations],
-        "lowest_ceiling": round(rules.lowest_ceiling_ratio, 6),
+        "lowest_ceiling": round(rules.lowest_ceiling_ratio, RESULT_DECIMALS),
         "series": recorder.series_rows(),
     }
     return {"exact": exact, "cpu_s": round(cpu, 3), "events_a_second": round(kernel.events / cpu) if cpu > 0 else 0}
--- a/ingress/emulator/world.py
+++ b/ingress/emulator/world.py
@@ -20,6 +20,7 @@
 MAX_FIRST_LIST_DELAY_S = 0.4  # From the start of a gateway to the first response of discovery.
 FINAL_RESPONSES_S = 1.0  # For the last responses at the end of a run, in addition to the longest deadline.
 SAMPLED_GATEWAYS = 20  # The approximate number of gateways whose view of the servers' health is sampled.
+SEED_RANGE = 2**53  # The integers that a float represents exactly.
 
 
 def make_gateway(settings: Settings, seed: int) -> DecisionModule:
@@ -118,7 +119,8 @@
 
     def _start_process(self, gateway: GatewayHost) -> None:
         gateway.start(
-            gateway_settings(self.experiment, gateway.number, self.plans), int(self.random["seeds"].uniform(0, 2**53))
+            gateway_settings(self.experiment, gateway.number, self.plans),
+            int(self.random["seeds"].uniform(0, SEED_RANGE)),
         )
 
     def kill_gateway(self, number: int, drained: bool = False) -> None:
