--- a/tests/golden_files.py
+++ b/tests/golden_files.py
@@ -46,14 +46,17 @@
 
 
 def as_json(value: Any) -> bytes:
+    """Encode a value as one line of JSON."""
     return json.dumps(plain(value)).encode() + b"\n"
 
 
 def golden(name: str) -> bytes:
+    """Return the content of a golden file."""
     return (GOLDEN / name).read_bytes()
 
 
 def golden_json(name: str) -> Any:
+    """Return the decoded content of a golden JSON file."""
     return json.loads(golden(name))
 
 
@@ -74,5 +77,5 @@
     from tests.test_golden_logs import log_files
     from tests.test_golden_store import record_store
 
-    for found in (record_processes, record_store, log_files, control_files, config_files):
-        record(found())
+    for generate in (record_processes, record_store, log_files, control_files, config_files):
+        record(generate())
--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -1,13 +1,13 @@
 """Digests of all actions of the gateway for fixed seeds; refactoring and renaming must not change them.
 
-There are two kinds of inputs: days of the emulator, and streams of events drawn for one gateway.  Only the table in
-`tests/decision_log.py` and the constructors of events depend on the names of types and fields.
+There are two kinds of inputs: scenarios of the emulator, and streams of events drawn for one gateway.  Only the table
+in `tests/decision_log.py` and the constructors of events depend on the names of types and fields.
 
 `python -m tests.test_decision_digest` records the digests again; use it only after an intended change of decisions.
 
 The random draws of the emulator use `numpy.exp`.  With AVX-512 numpy uses its own implementation, elsewhere that of the
-C library, and the last bits of a draw differ.  Each of the two therefore has its own table of digests of the days; one
-of them applies on any machine.
+C library, and the last bits of a draw differ.  Each of the two therefore has its own table of digests of the scenarios;
+one of them applies on any machine.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
     return {"kind": kind, "at": at, "lasts": lasts} | keys
 
 
-DAYS: dict[str, dict[str, Any]] = {
+SCENARIOS: dict[str, dict[str, Any]] = {
     "calm": {},
     "full": {"load": {"use": 1.1}, "fleet": {"second_copies": False}},
     "killed and rolled gateways": {"faults": [fault("kill-gateways"), fault("roll-gateways", 2.0, steps=2)]},
@@ -69,8 +69,8 @@
 }
 
 
-def play_day(name: str) -> list[str]:
-    changes = DAYS[name]
+def run_scenario(name: str) -> list[str]:
+    changes = SCENARIOS[name]
     fleet = {"gateways": 4, "servers": 8, "zones": 2, "cold_s": 3.0} | changes.get("fleet", {})
     source = {"name": "digest", "seconds": 4.0, "classes": CLASSES, "plans": PLANS, "load": {"use": 0.5}}
     lines: list[str] = []
@@ -99,9 +99,9 @@
     return json.loads(path.read_text(encoding="utf-8"))[kind][name]
 
 
-@pytest.mark.parametrize("name", DAYS)
-def test_a_day_of_the_emulator_has_the_recorded_decisions(name: str) -> None:
-    assert digest(play_day(name)) == golden("days", name)
+@pytest.mark.parametrize("name", SCENARIOS)
+def test_a_scenario_of_the_emulator_has_the_recorded_decisions(name: str) -> None:
+    assert digest(run_scenario(name)) == golden("days", name)
 
 
 @pytest.mark.parametrize("name", STREAMS)
@@ -110,8 +110,8 @@
 
 
 def record() -> None:
-    """Record the streams and the days for this machine's `numpy.exp`; the other table needs another machine."""
-    days = {name: digest(play_day(name)) for name in DAYS}
+    """Record the streams and the scenarios for this machine's `numpy.exp`; the other table needs another machine."""
+    days = {name: digest(run_scenario(name)) for name in SCENARIOS}
     streams = {name: digest(EventStream(name).run()) for name in STREAMS}
     GOLDEN.parent.mkdir(exist_ok=True)
     found = json.loads(GOLDEN.read_text(encoding="utf-8")) if GOLDEN.exists() else {}
--- a/tests/test_module.py
+++ b/tests/test_module.py
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("path", DECISION_MODULES, ids=lambda path: path.stem)
-def test_each_decision_module_keeps_to_its_size(path: Path) -> None:
+def test_each_decision_module_keeps_to_the_size_limit(path: Path) -> None:
     lines = path.read_text(encoding="utf-8").splitlines()
     assert len([line for line in lines if line.strip()]) <= 460
     assert max(map(len, lines)) <= 120
--- a/tests/test_net_bad_peers.py
+++ b/tests/test_net_bad_peers.py
@@ -41,7 +41,7 @@
 from tests.test_net_signals import check_no_traceback, eight_endpoints, launched
 
 PAY = {"name": "pay", "aim-s": 1.0, "give-up-s": 2.0, "importance": 1.0, "semantics": "unsafe"}
-UNSAFE = SETTINGS | {"categories": [*SETTINGS["categories"], PAY]}
+NOT_IDEMPOTENT_SETTINGS = SETTINGS | {"categories": [*SETTINGS["categories"], PAY]}
 REJECT_TIMEOUT_S = 3.0  # From the connect of a misbehaving client to its error line or the close.
 LARGE_REJECT_TIMEOUT_S = 6.0  # The same for a client that sends 60 MB.
 FLOOD_BYTES = 60_000_000
@@ -105,7 +105,7 @@
             wrong = list[tuple[bytes, bytes]]()
             served = 0
 
-            async def ask(number: int) -> None:
+            async def send_requests(number: int) -> None:
                 nonlocal served
                 client = await RespClient.connect(program.address)
                 for n in range(8):
@@ -115,7 +115,7 @@
                     if isinstance(answer, bytes) and answer != asked.encode():
                         wrong.append((asked.encode(), answer))
 
-            await asyncio.gather(*(ask(number) for number in range(12)))
+            await asyncio.gather(*(send_requests(number) for number in range(12)))
             assert not wrong, f"{len(wrong)} of 96 requests: {wrong[:3]}"
             assert served >= 10
 
@@ -128,7 +128,7 @@
 
     async def body() -> None:
         peer, executions = duplicating_endpoint(delay, b"-BUSY\r\n")
-        async with peer, launched(tmp_path, endpoint_entry(peer.address), settings=UNSAFE) as program:
+        async with peer, launched(tmp_path, endpoint_entry(peer.address), settings=NOT_IDEMPOTENT_SETTINGS) as program:
             await program.ready()
             client = await RespClient.connect(program.address)
             answers = [(b"%016x" % n, await client.request(command(f"{n:016x}", "pay"))) for n in range(30)]
@@ -223,7 +223,7 @@
     async def body() -> None:
         async with (
             scripted_endpoint(*[answer] * 9, then=then) as peer,
-            running_ingress(config(*eight_endpoints(peer), settings=UNSAFE)) as (served, address),
+            running_ingress(config(*eight_endpoints(peer), settings=NOT_IDEMPOTENT_SETTINGS)) as (served, address),
         ):
             client = await RespClient.connect(address)
             started_at = time.monotonic()
@@ -252,7 +252,10 @@
                 await asyncio.sleep(0.005)
                 writer.write(endpoint_answer(words[2]))
 
-        async with Peer(script) as peer, launched(tmp_path, endpoint_entry(peer.address), settings=UNSAFE) as program:
+        async with (
+            Peer(script) as peer,
+            launched(tmp_path, endpoint_entry(peer.address), settings=NOT_IDEMPOTENT_SETTINGS) as program,
+        ):
             await program.ready()
             client = await RespClient.connect(program.address)
             answers = [await client.request(command(f"{n}", "pay")) for n in range(10)]
@@ -309,7 +312,7 @@
     async def body() -> None:
         async with (
             scripted_endpoint(refusal) as peer,
-            running_ingress(config(*eight_endpoints(peer), settings=UNSAFE)) as (_, address),
+            running_ingress(config(*eight_endpoints(peer), settings=NOT_IDEMPOTENT_SETTINGS)) as (_, address),
         ):
             client = await RespClient.connect(address)
             assert await client.request(command("one", "pay")) == b"one"
@@ -332,7 +335,7 @@
                     config(
                         endpoint_entry(peer.address),
                         *(endpoint_entry(closed.getsockname(), f"r{n}") for n in range(3)),
-                        settings=UNSAFE,
+                        settings=NOT_IDEMPOTENT_SETTINGS,
                     )
                 ) as (_, address),
             ):
@@ -364,7 +367,7 @@
 
         async with (
             Peer(script) as peer,
-            running_ingress(config(endpoint_entry(peer.address), settings=UNSAFE)) as (_, address),
+            running_ingress(config(endpoint_entry(peer.address), settings=NOT_IDEMPOTENT_SETTINGS)) as (_, address),
         ):
             client = await RespClient.connect(address)
             own_answers = 0
@@ -466,13 +469,13 @@
     "an unknown command": (resp(b"GET", b"x"), 0, 0.0),
 }
 # A request up to its body.
-LONG = (
+WRITE_HEAD = (
     b"*5\r\n$9\r\nAPI.WRITE\r\n$16\r\n%016x\r\n$2\r\naa\r\n$41\r\n" % 7
     + b"c=order,t=basic,d=2000,k=0123456789abcdef\r\n$%d\r\n"
 )
 # For each flood: the data that is repeated to make 60 MB, with what precedes it, and whether the client reads.
 FLOODS: dict[str, tuple[bytes | tuple[bytes, bytes], bool]] = {
-    "one value": ((LONG % FLOOD_BYTES, bytes(60_000)), True),
+    "one value": ((WRITE_HEAD % FLOOD_BYTES, bytes(60_000)), True),
     "one word": ((b"*1\r\n$60000000\r\n", bytes(60_000)), True),
     "zeros": (bytes(60_000), True),
     "lines": (b"nonsense\r\n" * 6_000, True),
@@ -491,22 +494,22 @@
     async def body() -> None:
         async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
-            over = asyncio.Event()
-            asked = 0
-            slowest = 0.0
+            finished = asyncio.Event()
+            request_count = 0
+            slowest_s = 0.0
 
-            async def steady() -> None:
-                nonlocal asked, slowest
+            async def send_steadily() -> None:
+                nonlocal request_count, slowest_s
                 client = await RespClient.connect(program.address)
-                while not over.is_set():
+                while not finished.is_set():
                     sent_at = time.monotonic()
-                    asked += 1
-                    assert await client.request(command(f"good{asked}")) == b"good%d" % asked
-                    slowest = max(slowest, time.monotonic() - sent_at)
+                    request_count += 1
+                    assert await client.request(command(f"good{request_count}")) == b"good%d" % request_count
+                    slowest_s = max(slowest_s, time.monotonic() - sent_at)
                     await asyncio.sleep(0.02)
 
-            asking = asyncio.create_task(steady())
-            await wait_until(lambda: asked)
+            steady_client = asyncio.create_task(send_steadily())
+            await wait_until(lambda: request_count)
             times = dict(
                 zip(
                     MALFORMED_INPUTS,
@@ -520,13 +523,13 @@
                     strict=True,
                 )
             )
-            over.set()
-            await asking
+            finished.set()
+            await steady_client
             late = {
                 name: one for name, one in times.items() if isinstance(one, BaseException) or one > REJECT_TIMEOUT_S
             }
             assert not late
-            assert slowest < 1.0
+            assert slowest_s < 1.0
             assert all(words[2].startswith(b"good") for words in peer.commands)  # No malformed input was forwarded.
             check_no_traceback(program)
 
@@ -563,7 +566,8 @@
         async with fake_endpoint() as peer, launched(tmp_path, *eight_endpoints(peer)) as program:
             await program.ready()
             seconds = await asyncio.wait_for(
-                time_to_reject(program.address, b"x", 1 << 20, 0.3, before=LONG % 70_000), LARGE_REJECT_TIMEOUT_S + 1
+                time_to_reject(program.address, b"x", 1 << 20, 0.3, before=WRITE_HEAD % 70_000),
+                LARGE_REJECT_TIMEOUT_S + 1,
             )
             assert seconds < LARGE_REJECT_TIMEOUT_S
 
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -41,7 +41,7 @@
 from tests.test_net_figures import read_metrics
 from tests.test_net_ingress import StubGateway, running_ingress
 
-PROBING = SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}, "prices": {"probe": 0.01}}
+HEALTH_CHECK_SETTINGS = SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}, "prices": {"probe": 0.01}}
 
 
 @pytest.mark.parametrize(
@@ -90,7 +90,7 @@
 
 
 def test_failing_endpoint_is_ejected_and_recovers_through_a_health_check_and_probation() -> None:
-    """Runs the real decision module on real sockets: one of four endpoints answers with errors for a while."""
+    """Run the real decision modules on real sockets; one of four endpoints answers with errors for a while."""
     is_failing = asyncio.Event()
     pings = 0
 
@@ -109,23 +109,26 @@
             entries = [endpoint_entry(peer.address, f"s{n}") for n in range(3)] + [
                 endpoint_entry(failing.address, "bad")
             ]
-            async with running_ingress(config(*entries, control=ADMIN_LISTEN, settings=PROBING)) as (served, address):
+            async with running_ingress(config(*entries, control=ADMIN_LISTEN, settings=HEALTH_CHECK_SETTINGS)) as (
+                served,
+                address,
+            ):
                 client = await RespClient.connect(address)
                 health = served.gateway.cluster.endpoints.by_id["bad"].health
                 is_failing.set()
                 while not served.gateway.health()["ejections"]:
                     await client.request(command())
-                shown = await read_metrics(served)
-                assert shown["health.ejected"] == shown["ejected"] == 1
-                assert shown["ejections.error"] == 1 and shown["health.healthy"] == 3
+                metrics = await read_metrics(served)
+                assert metrics["health.ejected"] == metrics["ejected"] == 1
+                assert metrics["ejections.error"] == 1 and metrics["health.healthy"] == 3
                 is_failing.clear()
                 health.next_health_check_at = 0.0  # the next health check is due now
                 while health.status.value != "healthy":
                     await client.request(command())
                     await asyncio.sleep(0.002)
-                shown = await read_metrics(served)
-                assert shown["probes"] == pings >= 1 and shown["ejected"] == 0
-                assert shown["results.read.aborted"] == 0
+                metrics = await read_metrics(served)
+                assert metrics["probes"] == pings >= 1 and metrics["ejected"] == 0
+                assert metrics["results.read.aborted"] == 0
 
     run_async(body())
 
@@ -136,10 +139,10 @@
             pool = PoolUnderTest(peer.address)
             soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
             resource.setrlimit(resource.RLIMIT_NOFILE, (256, hard))
-            with contextlib.ExitStack() as held:
+            with contextlib.ExitStack() as open_files:
                 with contextlib.suppress(OSError):
                     while True:  # until no descriptor is left
-                        held.enter_context(open(os.devnull, "rb"))
+                        open_files.enter_context(open(os.devnull, "rb"))
                 attempt = pool.send()
                 await wait_until(lambda: pool.results)
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
--- a/tests/test_net_readiness.py
+++ b/tests/test_net_readiness.py
@@ -1,4 +1,4 @@
-"""Start-up of the real process until its first +PONG, whatever discovery does, and on a shared CPU core."""
+"""Start-up of the real process until its first +PONG: with a failing discovery agent, and on a shared CPU core."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 from tests.test_net_signals import Program, check_no_traceback, launched
 
 READY_TIMEOUT_S = 10.0  # From the start to +PONG.
-MAX_CPU_S = 1.5  # CPU time, user and system, that a process may use until then.
+MAX_CPU_S = 1.5  # CPU time, user and system, that a process may use until its first +PONG.
 TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 RESTART_COUNT = 7  # Processes that restart at the same time.
 ENDPOINT_COUNT = 200  # Endpoints in a large initial list.
@@ -89,8 +89,8 @@
 
 @pytest.mark.parametrize("how", ["silent", "busy", "half", "refused"])
 @pytest.mark.parametrize("servers", [0, 1, ENDPOINT_COUNT])
-def test_it_is_ready_whatever_discovery_does(how: str, servers: int, tmp_path: Path) -> None:
-    """And serves by the list that it knows, if it knows one."""
+def test_the_process_becomes_ready_however_discovery_fails(how: str, servers: int, tmp_path: Path) -> None:
+    """It then serves requests with the endpoint list of its configuration, if that has one."""
 
     async def body() -> None:
         async with discovery_agent(how) as down, fake_endpoint() as peer:
@@ -101,7 +101,7 @@
                 start = await ready_after(program, began)
                 assert start.wall < READY_TIMEOUT_S and start.cpu < MAX_CPU_S, start
                 while how != "refused" and not down.commands:
-                    await asyncio.sleep(0.005)  # The process must have asked discovery.
+                    await asyncio.sleep(0.005)  # The process must have polled discovery.
                 client = await RespClient.connect(program.address)
                 answer = await client.request(command(d=1000))
                 assert answer == b"00000000000000aa" if servers else str(answer).startswith(("BUSY", "ERR")), answer
@@ -110,7 +110,9 @@
     run_async(body())
 
 
-def test_it_is_ready_while_its_endpoints_hang_and_clients_send_requests_from_the_start(tmp_path: Path) -> None:
+def test_the_process_becomes_ready_while_its_endpoints_hang_and_clients_send_requests_from_the_start(
+    tmp_path: Path,
+) -> None:
     async def body() -> None:
         async with fake_endpoint(b"") as hanging, discovery_agent("silent") as down:
             known = [endpoint_entry(hanging.address, f"s{n}") for n in range(ENDPOINT_COUNT)]
