--- a/tests/test_health_day.py
+++ b/tests/test_health_scenario.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from .fleet_day import Fault, FleetScenario, instant_errors, one_in_five, refusing, silent, slow
+from .fleet_scenario import Fault, FleetScenario, instant_errors, one_in_five, refusing, silent, slow
 
 START, END, LENGTH = 5.0, 25.0, 32.0
 MAX_CHECKS_PER_SECOND = 2.0  # of one endpoint by all gateways, at the settings' health check cost of 0.01
--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -100,8 +100,8 @@
             flood = [await from_address("127.0.0.1", address) for _ in range(100)]
             for other in others:
                 assert await other.request(command()) == b"00000000000000aa"
-            fresh = [await from_address(f"127.0.2.{n}", address) for n in range(1, 26)]
-            assert [await one.request(PING) for one in fresh] == [b"PONG"] * 25
+            new_clients = [await from_address(f"127.0.2.{n}", address) for n in range(1, 26)]
+            assert [await one.request(PING) for one in new_clients] == [b"PONG"] * 25
             assert [await one.request(PING) for one in others] == [b"PONG"] * 5  # none of them was closed
             held = Counter(c.peer for c in served.clients.connections)
             assert held["127.0.0.1"] <= 30 and len(served.clients.connections) <= 60
@@ -546,9 +546,9 @@
             fake_endpoint(b"") as silent,
             running_ingress(config(endpoint_entry(silent.address))) as (served, address),
         ):
-            for fresh in (False, True):  # on an accepted connection, and on one in the backlog
+            for new_clients in (False, True):  # on an accepted connection, and on one in the backlog
                 sock = socket.create_connection(address)
-                client = RespClient(*await asyncio.open_connection(sock=sock)) if not fresh else None
+                client = RespClient(*await asyncio.open_connection(sock=sock)) if not new_clients else None
                 if client is not None:
                     assert await client.request(resp(b"PING")) == b"PONG"
                 started_at = time.monotonic()
--- a/tests/test_net_control.py
+++ b/tests/test_net_control.py
@@ -165,10 +165,10 @@
                 await slow.read_answer()
             await wait_until(lambda: not served.clients.connections)
             assert await admin_call(served, b"resume") == "ok\n"
-            fresh = await RespClient.connect(address)
-            assert await fresh.request(resp(b"PING")) == b"PONG"
-            assert await fresh.request(command("fresh")) == b"fresh"
-            assert await fresh.request(resp(b"PING")) == b"PONG"  # The connection stays open.
+            new_client = await RespClient.connect(address)
+            assert await new_client.request(resp(b"PING")) == b"PONG"
+            assert await new_client.request(command("fresh")) == b"fresh"
+            assert await new_client.request(resp(b"PING")) == b"PONG"  # The connection stays open.
 
     run_async(body())
 
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -38,8 +38,8 @@
 )
 from tests.test_net_backends import PoolUnderTest
 from tests.test_net_control import ADMIN_LISTEN
-from tests.test_net_figures import read_metrics
 from tests.test_net_ingress import StubGateway, running_ingress
+from tests.test_net_metrics import read_metrics
 
 HEALTH_CHECK_SETTINGS = SETTINGS | {"limits": SETTINGS["limits"] | {"probing": True}, "prices": {"probe": 0.01}}
 
--- a/tests/test_net_tls.py
+++ b/tests/test_net_tls.py
@@ -244,9 +244,9 @@
         async def serial(context: ssl.SSLContext) -> int:
             client = await secure(("127.0.0.1", port), context)
             assert await client.request(PING) == b"PONG"
-            found = client.writer.get_extra_info("peercert")
+            certificate = client.writer.get_extra_info("peercert")
             client.writer.close()
-            return int(found["serialNumber"], 16)
+            return int(certificate["serialNumber"], 16)
 
         try:
             await logged("serves on")
@@ -297,7 +297,7 @@
                     writer.write(outgoing.read())
             writer.write(outgoing.read())
             assert client.getpeercert()["subject"] == ((("commonName", "old"),),)  # type: ignore[index]
-            fresh = await secure(address, context)
-            assert fresh.writer.get_extra_info("peercert")["subject"] == ((("commonName", "new"),),)
+            new_client = await secure(address, context)
+            assert new_client.writer.get_extra_info("peercert")["subject"] == ((("commonName", "new"),),)
 
     run_async(body())
--- a/tests/test_outlier_detection.py
+++ b/tests/test_outlier_detection.py
@@ -36,7 +36,7 @@
     GatewayHarness,
     started_attempts,
 )
-from .fleet_day import FleetScenario, silent
+from .fleet_scenario import FleetScenario, silent
 
 UNLIMITED = replace(SETTINGS, plans=(replace(BASIC_PLAN, rate=1e6, burst=1e6),))
 ERROR, TIMEOUT, REFUSED = Outcome.ERROR, Outcome.TIMEOUT, Outcome.CONNECT_FAILED
--- a/tests/test_quota_fleet.py
+++ b/tests/test_quota_fleet.py
@@ -1,9 +1,9 @@
 """Quotas over a fleet without faults.
 
 Serving requests over their quotas must cost little more than under a policy that sees the true state with a delay, and
-the value that is given up for this is bounded.  The workloads are drawn from the model in `quota_day.py`.  They also
-run with previous decisions whose cost was too high: a gateway then granted all units in its slices, earned or not, and
-allowed each customer one attempt in flight however small its share of the concurrency limit was.
+the value that is given up for this is bounded.  The workloads are drawn from the model in `quota_workload.py`.  They
+also run with previous decisions whose cost was too high: a gateway then granted all units in its slices, earned or not,
+and allowed each customer one attempt in flight however small its share of the concurrency limit was.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from ingress.decisions.quota import CustomerQuota
 from ingress.decisions.settings import Plan, RequestClass, Settings
 
-from .quota_day import (
+from .quota_workload import (
     ClassShare,
     PlanCustomers,
     WorkloadResult,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -31,8 +31,8 @@
     read_command,
 )
 from tests.test_net_control import ADMIN_LISTEN
-from tests.test_net_figures import read_metrics
 from tests.test_net_ingress import running_ingress as ingress
+from tests.test_net_metrics import read_metrics
 from tests.test_net_restart import free_port
 from tests.test_registry import ROOT, TOKEN, Client, endpoint_row, run_async, running_registry
 
