--- a/tests/test_net_connections.py
+++ b/tests/test_net_connections.py
@@ -546,9 +546,9 @@
             fake_endpoint(b"") as silent,
             running_ingress(config(endpoint_entry(silent.address))) as (served, address),
         ):
-            for new_clients in (False, True):  # on an accepted connection, and on one in the backlog
+            for in_backlog in (False, True):  # on an accepted connection, and on one in the backlog
                 sock = socket.create_connection(address)
-                client = RespClient(*await asyncio.open_connection(sock=sock)) if not new_clients else None
+                client = RespClient(*await asyncio.open_connection(sock=sock)) if not in_backlog else None
                 if client is not None:
                     assert await client.request(resp(b"PING")) == b"PONG"
                 started_at = time.monotonic()
--- a/tests/test_net_counter.py
+++ b/tests/test_net_counter.py
@@ -32,7 +32,7 @@
         return reply.name, reply.outcome, reply.total
 
 
-def scripted(*answers: bytes) -> Peer:
+def scripted_counter(*answers: bytes) -> Peer:
     """Return a counter that gives these answers to the first calls, and then stops answering."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -63,7 +63,7 @@
 )
 def test_outcome_of_each_kind_of_reply(answer: bytes, outcome: Outcome, total: float) -> None:
     async def body() -> None:
-        async with scripted(answer) as peer:
+        async with scripted_counter(answer) as peer:
             counter = CounterUnderTest(peer.address)
             counter.add()
             assert await counter.reply() == (7, outcome, total)
@@ -83,7 +83,7 @@
 )
 def test_encoding_of_a_call(amount: float, lifetime: float, line: bytes) -> None:
     async def body() -> None:
-        async with scripted() as peer:
+        async with scripted_counter() as peer:
             counter = CounterUnderTest(peer.address)
             counter.add(7, amount, lifetime)
             await wait_until(lambda: peer.commands)
@@ -180,7 +180,7 @@
             writer.write(b"ok 1\r\n")
             assert not await reader.readline()  # the old connection is closed without another call
 
-        async with Peer(script) as old, scripted(b"ok 2\r\n", b"ok 3\r\n") as new:
+        async with Peer(script) as old, scripted_counter(b"ok 2\r\n", b"ok 3\r\n") as new:
             counter = CounterUnderTest(old.address)
             counter.add(1)
             await wait_until(lambda: counter.client.connection is not None)
@@ -199,7 +199,7 @@
 
 def test_counter_that_moves_during_a_connect_is_contacted_at_its_new_address() -> None:
     async def body() -> None:
-        async with scripted(b"ok 1\r\n") as old, scripted(b"ok 2\r\n") as new:
+        async with scripted_counter(b"ok 1\r\n") as old, scripted_counter(b"ok 2\r\n") as new:
             counter = CounterUnderTest(old.address)
             counter.add(1)
             counter.client.change_address(new.address)
@@ -281,7 +281,7 @@
 
 def test_silence_is_measured_from_the_last_received_data_not_from_the_oldest_call() -> None:
     async def body() -> None:
-        async with scripted() as peer:
+        async with scripted_counter() as peer:
             counter = CounterUnderTest(peer.address, timeout=1.0)
             for name in (1, 2):
                 counter.add(name)
@@ -303,7 +303,7 @@
     monkeypatch.setattr(module, "SILENCE_TIMEOUT_RATIO", 0)
 
     async def body() -> None:
-        async with scripted() as peer:
+        async with scripted_counter() as peer:
             counter = CounterUnderTest(peer.address, timeout=0.02)
             counter.add()
             assert await counter.reply() == (7, Outcome.TIMEOUT, 0.0)
@@ -316,7 +316,7 @@
     monkeypatch.setattr(module, "IDLE_TIMEOUT_S", 0.05)
 
     async def body() -> None:
-        async with scripted(b"ok 1\r\n") as peer:
+        async with scripted_counter(b"ok 1\r\n") as peer:
             counter = CounterUnderTest(peer.address)
             counter.add()
             await counter.reply()
--- a/tests/test_net_discovery.py
+++ b/tests/test_net_discovery.py
@@ -23,7 +23,7 @@
 from ingress.discovery.http import BusyError, HttpConnection, HttpError
 from tests.peers import Peer, Reader, Writer, endpoint_entry, run_async, wait_until
 
-HERE = ("127.0.0.1", 6379)
+ENDPOINT_ADDRESS = ("127.0.0.1", 6379)
 APPLY_DEADLINE_S = 6.0  # a change must be applied within this time after discovery is reachable
 RELOAD_DEADLINE_S = 4.0  # a list must be applied within this time after a reload
 
@@ -85,11 +85,14 @@
     async def body() -> None:
         service = ScriptedDiscovery(
             endpoint_list_json(
-                41, True, endpoint_entry(HERE, started=0), endpoint_entry(HERE, "s2", started=1_700_000_000_500)
+                41,
+                True,
+                endpoint_entry(ENDPOINT_ADDRESS, started=0),
+                endpoint_entry(ENDPOINT_ADDRESS, "s2", started=1_700_000_000_500),
             ),
-            endpoint_list_json(43, False, endpoint_entry(HERE, "s2", "draining")),
+            endpoint_list_json(43, False, endpoint_entry(ENDPOINT_ADDRESS, "s2", "draining")),
             endpoint_list_json(44, False),
-            endpoint_list_json(50, True, endpoint_entry(HERE)),
+            endpoint_list_json(50, True, endpoint_entry(ENDPOINT_ADDRESS)),
         )
         updates = await watch(service, 5)
         assert service.requests == ["/api/targets", WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
@@ -100,16 +103,16 @@
         ]
         assert [endpoint.started_at for endpoint in updates[0][1].endpoints] == [0.0, 1_700_000_000.5]
         assert updates[1][1].endpoints[0].readiness is Readiness.DRAINING
-        assert updates[0][1].addresses["s2"] == HERE
+        assert updates[0][1].addresses["s2"] == ENDPOINT_ADDRESS
 
     run_async(body())
 
 
-def test_moved_service_is_asked_at_once_for_a_complete_list() -> None:
+def test_moved_service_is_polled_at_once_for_a_complete_list() -> None:
     async def body() -> None:
         updates: list[tuple[EndpointListKind, EndpointList]] = []
-        old = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(HERE)))
-        new = ScriptedDiscovery(endpoint_list_json(7, True, endpoint_entry(HERE, "s2")))
+        old = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(ENDPOINT_ADDRESS)))
+        new = ScriptedDiscovery(endpoint_list_json(7, True, endpoint_entry(ENDPOINT_ADDRESS, "s2")))
         async with old.peer, new.peer:
             discovery = DiscoveryClient(
                 old.peer.address,
@@ -137,9 +140,9 @@
 def test_restarted_versions_cause_a_request_for_a_complete_list() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            endpoint_list_json(41, True, endpoint_entry(HERE)),
-            endpoint_list_json(3, False, endpoint_entry(HERE, "s9")),
-            endpoint_list_json(3, True, endpoint_entry(HERE, "s9")),
+            endpoint_list_json(41, True, endpoint_entry(ENDPOINT_ADDRESS)),
+            endpoint_list_json(3, False, endpoint_entry(ENDPOINT_ADDRESS, "s9")),
+            endpoint_list_json(3, True, endpoint_entry(ENDPOINT_ADDRESS, "s9")),
         )
         updates = await watch(service, 4)
         assert service.requests == ["/api/targets", WATCH % 41, "/api/targets", WATCH % 3]
@@ -155,10 +158,10 @@
 def test_list_is_kept_and_the_service_polled_again_after_a_malformed_response(broken: bytes) -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            endpoint_list_json(41, True, endpoint_entry(HERE)),
+            endpoint_list_json(41, True, endpoint_entry(ENDPOINT_ADDRESS)),
             broken,
             broken,
-            endpoint_list_json(42, True, endpoint_entry(HERE)),
+            endpoint_list_json(42, True, endpoint_entry(ENDPOINT_ADDRESS)),
         )
         updates = await watch(service, 5)
         assert service.requests[:2] == ["/api/targets", WATCH % 41] and service.requests[-1] == WATCH % 42
@@ -172,10 +175,10 @@
 def test_known_list_is_updated_with_the_changes_since_its_version() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            endpoint_list_json(43, False, endpoint_entry(HERE)),
+            endpoint_list_json(43, False, endpoint_entry(ENDPOINT_ADDRESS)),
             b"",
             b"",
-            endpoint_list_json(44, False, endpoint_entry(HERE)),
+            endpoint_list_json(44, False, endpoint_entry(ENDPOINT_ADDRESS)),
         )
         updates = await watch(service, 5, version=41)
         # A closed connection does not invalidate the version.
@@ -190,7 +193,7 @@
 
 def test_version_zero_is_watched_like_any_other() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(endpoint_list_json(1, False, endpoint_entry(HERE)))
+        service = ScriptedDiscovery(endpoint_list_json(1, False, endpoint_entry(ENDPOINT_ADDRESS)))
         await watch(service, 2, version=0)
         assert service.requests == [WATCH % 0, WATCH % 1]
 
@@ -207,7 +210,7 @@
 
 
 def make_client(rng: random.Random, busy_pause: float = module.MIN_PAUSE_S, now: float = 0.0) -> DiscoveryClient:
-    return DiscoveryClient(HERE, lambda kind, endpoint_list: None, 41, rng, lambda: now, busy_pause)
+    return DiscoveryClient(ENDPOINT_ADDRESS, lambda kind, endpoint_list: None, 41, rng, lambda: now, busy_pause)
 
 
 @pytest.mark.parametrize(("gateways", "first"), [(3, 0.3), (40, 4.0), (1000, module.ROUND_INTERVAL_S)])
@@ -347,7 +350,7 @@
             slept.append([])
             discovery = make_client(random.Random(seed))
             with pytest.raises(asyncio.CancelledError):
-                await discovery._watch(HttpConnection(HERE))
+                await discovery._watch(HttpConnection(ENDPOINT_ADDRESS))
             assert discovery.version == 41
 
     run_async(body())
@@ -365,9 +368,9 @@
     async def body() -> None:
         service = ScriptedDiscovery(
             None,
-            endpoint_list_json(1, True, endpoint_entry(HERE)),
+            endpoint_list_json(1, True, endpoint_entry(ENDPOINT_ADDRESS)),
             None,
-            endpoint_list_json(2, True, endpoint_entry(HERE)),
+            endpoint_list_json(2, True, endpoint_entry(ENDPOINT_ADDRESS)),
         )
         updates = await watch(service, 5)
         assert [endpoint_list.version for _, endpoint_list in updates] == [1, 2]
@@ -378,7 +381,8 @@
 def test_failing_update_handler_does_not_end_the_watch() -> None:
     async def body() -> None:
         service = ScriptedDiscovery(
-            endpoint_list_json(1, True, endpoint_entry(HERE)), endpoint_list_json(2, True, endpoint_entry(HERE))
+            endpoint_list_json(1, True, endpoint_entry(ENDPOINT_ADDRESS)),
+            endpoint_list_json(2, True, endpoint_entry(ENDPOINT_ADDRESS)),
         )
 
         def on_update(kind: EndpointListKind, endpoint_list: EndpointList) -> None:
@@ -411,24 +415,24 @@
     ],
 )
 def test_malformed_entry_is_skipped_and_logged(change: dict[str, Any], caplog: pytest.LogCaptureFixture) -> None:
-    entries = [endpoint_entry(HERE) | change, endpoint_entry(HERE, "s2"), 5]
+    entries = [endpoint_entry(ENDPOINT_ADDRESS) | change, endpoint_entry(ENDPOINT_ADDRESS, "s2"), 5]
     with caplog.at_level(logging.WARNING):
         endpoint_list = read_endpoint_list({"version": 1, "full": True, "servers": entries})
     assert [endpoint.id for endpoint in endpoint_list.endpoints] == ["s2"]
     assert len(caplog.records) == 2
 
 
-def http(body: bytes, *lines: bytes, status: bytes = b"200 OK") -> bytes:
+def http_response(body: bytes, *lines: bytes, status: bytes = b"200 OK") -> bytes:
     return b"\r\n".join([b"HTTP/1.1 " + status, *lines, b"", body])
 
 
-def sized(body: bytes, *lines: bytes, status: bytes = b"200 OK") -> bytes:
-    return http(body, b"Content-Length: %d" % len(body), *lines, status=status)
+def sized_http_response(body: bytes, *lines: bytes, status: bytes = b"200 OK") -> bytes:
+    return http_response(body, b"Content-Length: %d" % len(body), *lines, status=status)
 
 
-DRAINING = endpoint_entry(HERE, "s2", "draining")
-BUSY = sized(b"", b"Retry-After: 60", status=b"503 Busy")
-SERVER_ERROR = sized(b"", status=b"500 No")
+DRAINING = endpoint_entry(ENDPOINT_ADDRESS, "s2", "draining")
+BUSY = sized_http_response(b"", b"Retry-After: 60", status=b"503 Busy")
+SERVER_ERROR = sized_http_response(b"", status=b"500 No")
 
 
 class FailingDiscovery:
@@ -442,7 +446,10 @@
     """
 
     def __init__(self, *failures: tuple[bytes, str]) -> None:
-        self.failures = [(sized(endpoint_list_json(41, True, endpoint_entry(HERE))), "on"), *failures]
+        self.failures = [
+            (sized_http_response(endpoint_list_json(41, True, endpoint_entry(ENDPOINT_ADDRESS))), "on"),
+            *failures,
+        ]
         self.reachable_since = 0.0
         self.answered = 0
         self.peer = Peer(self.script)
@@ -465,7 +472,7 @@
             else:
                 is_watch = b"after=" in head
                 writer.write(
-                    sized(
+                    sized_http_response(
                         endpoint_list_json(42, False, DRAINING) if is_watch else endpoint_list_json(42, True, DRAINING)
                     )
                 )
@@ -479,9 +486,9 @@
     writer.transport.abort()
 
 
-TRUNCATED = http(endpoint_list_json(42, True, endpoint_entry(HERE))[:-30], b"Content-Length: 9999")
+TRUNCATED = http_response(endpoint_list_json(42, True, endpoint_entry(ENDPOINT_ADDRESS))[:-30], b"Content-Length: 9999")
 # without a length the body ends with the connection
-WITHOUT_LENGTH = http(endpoint_list_json(42, True, endpoint_entry(HERE, "s9"))[:-20])
+WITHOUT_LENGTH = http_response(endpoint_list_json(42, True, endpoint_entry(ENDPOINT_ADDRESS, "s9"))[:-20])
 
 
 @pytest.mark.parametrize(
@@ -532,7 +539,7 @@
     """The list must be applied within 4 s after the reload."""
 
     async def body() -> None:
-        old = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(HERE)))
+        old = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(ENDPOINT_ADDRESS)))
         new = FailingDiscovery(failure)
         updates: list[tuple[float, int]] = []
         new.failures.pop(0)
@@ -559,8 +566,8 @@
 
 def test_duplicate_response_is_read_once() -> None:
     async def body() -> None:
-        first = sized(endpoint_list_json(41, True, endpoint_entry(HERE)))
-        service = FailingDiscovery((sized(endpoint_list_json(41, False)) * 2, "on"))
+        first = sized_http_response(endpoint_list_json(41, True, endpoint_entry(ENDPOINT_ADDRESS)))
+        service = FailingDiscovery((sized_http_response(endpoint_list_json(41, False)) * 2, "on"))
         updates: list[int] = []
         service.failures[0] = first * 2, "on"
         async with service.peer:
@@ -583,7 +590,7 @@
 
 def test_wait_of_a_watch_shrinks_again_after_overload() -> None:
     async def body() -> None:
-        service = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(HERE)))
+        service = ScriptedDiscovery(endpoint_list_json(41, True, endpoint_entry(ENDPOINT_ADDRESS)))
         discovery = make_client(random.Random(1))
         async with service.peer:
             connection = HttpConnection(service.peer.address)
--- a/tests/test_net_health.py
+++ b/tests/test_net_health.py
@@ -90,7 +90,7 @@
 
 
 def test_failing_endpoint_is_ejected_and_recovers_through_a_health_check_and_probation() -> None:
-    """Run the real decision modules on real sockets; one of four endpoints answers with errors for a while."""
+    """The real decision modules run on real sockets; one of four endpoints answers with errors for a while."""
     is_failing = asyncio.Event()
     pings = 0
 
--- a/tests/test_net_long.py
+++ b/tests/test_net_long.py
@@ -34,8 +34,8 @@
 )
 from tests.test_net_ingress import StubGateway, running_ingress, start_attempts
 
-LONG = bytes(range(256)) * 4096  # 1 MiB
-HEAD = b"*3\r\n$%d\r\n" % len(LONG)
+LONG_VALUE = bytes(range(256)) * 4096  # 1 MiB
+LONG_VALUE_HEAD = b"*3\r\n$%d\r\n" % len(LONG_VALUE)
 
 
 async def slow_client(served: Ingress, address: Address) -> RespClient:
@@ -84,9 +84,9 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
-            writer.write(HEAD + LONG[:100])
+            writer.write(LONG_VALUE_HEAD + LONG_VALUE[:100])
             await first_forwarded.wait()
-            writer.write(LONG[100:] + b"\r\n$-1\r\n$-1\r\n")
+            writer.write(LONG_VALUE[100:] + b"\r\n$-1\r\n$-1\r\n")
 
     async def body() -> None:
         async with Peer(script) as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
@@ -94,12 +94,12 @@
             served.runner.gateway = stub  # type: ignore[assignment]
             client = await RespClient.connect(address)
             client.writer.write(command(d=300))
-            head = b"$%d\r\n" % len(LONG)
-            assert await client.reader.readexactly(len(head) + 100) == head + LONG[:100]
+            head = b"$%d\r\n" % len(LONG_VALUE)
+            assert await client.reader.readexactly(len(head) + 100) == head + LONG_VALUE[:100]
             await asyncio.sleep(0.4)  # The deadline has passed; a value that has begun is not aborted.
             first_forwarded.set()
-            assert await client.reader.readexactly(len(LONG) - 98) == LONG[100:] + b"\r\n"
-            assert await client.request(command()) == LONG  # Both connections can be used again.
+            assert await client.reader.readexactly(len(LONG_VALUE) - 98) == LONG_VALUE[100:] + b"\r\n"
+            assert await client.request(command()) == LONG_VALUE  # Both connections can be used again.
             assert peer.connections == 1
             await wait_until(lambda: not served.requests.in_flight)
             assert [type(e) for e in stub.seen[:3]] == [RequestReceived, ResponseStarted, AttemptEnded]
@@ -153,7 +153,7 @@
             await answer_first.wait()
             writer.write(endpoint_answer(b"slow"))
         else:
-            writer.write(HEAD + LONG + b"\r\n$-1\r\n$-1\r\n")
+            writer.write(LONG_VALUE_HEAD + LONG_VALUE + b"\r\n$-1\r\n$-1\r\n")
         await reader.read()
 
     async def body() -> None:
@@ -170,9 +170,9 @@
                 )
             )
             [waiting] = [r for r in served.requests.in_flight.values() if r.streaming_attempt]
-            assert sum(map(len, waiting.slot.chunks)) < len(LONG) / 4
+            assert sum(map(len, waiting.slot.chunks)) < len(LONG_VALUE) / 4
             answer_first.set()
-            assert [await client.read_answer(), await client.read_answer()] == [b"slow", LONG]
+            assert [await client.read_answer(), await client.read_answer()] == [b"slow", LONG_VALUE]
 
     run_async(body())
 
@@ -181,8 +181,8 @@
 def test_a_value_that_cannot_be_completed_closes_the_connection_and_is_not_retried(ending: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        cut = 1000 if not ending else len(LONG)
-        writer.write(HEAD + LONG[:cut] + ending)
+        cut = 1000 if not ending else len(LONG_VALUE)
+        writer.write(LONG_VALUE_HEAD + LONG_VALUE[:cut] + ending)
 
     async def body() -> None:
         async with (
@@ -205,7 +205,7 @@
 def test_a_client_that_disconnects_ends_the_attempt() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        writer.write(HEAD + LONG[:1000])
+        writer.write(LONG_VALUE_HEAD + LONG_VALUE[:1000])
         await reader.read()
 
     async def body() -> None:
@@ -227,7 +227,7 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        writer.write(HEAD + LONG[:1000])
+        writer.write(LONG_VALUE_HEAD + LONG_VALUE[:1000])
         await reader.read()
 
     async def body() -> None:
@@ -263,7 +263,7 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
         if peer.connections == 2:
-            writer.write(HEAD + LONG + b"\r\n$-1\r\n$-1\r\n")
+            writer.write(LONG_VALUE_HEAD + LONG_VALUE + b"\r\n$-1\r\n$-1\r\n")
         await reader.read()
 
     async def body() -> None:
@@ -271,7 +271,7 @@
         fleet = (endpoint_entry(peer.address, f"s{n}") for n in range(8))
         async with peer, running_ingress(config(*fleet, settings=settings)) as (served, address):
             client = await RespClient.connect(address)
-            assert await client.request(command()) == LONG
+            assert await client.request(command()) == LONG_VALUE
             await wait_until(lambda: not served.requests.attempts_in_flight)
             assert peer.connections == 2
 
--- a/tests/test_net_readiness.py
+++ b/tests/test_net_readiness.py
@@ -49,7 +49,7 @@
     runnable: float
 
 
-def times(program: Program, began: float) -> StartTimes:
+def start_times(program: Program, began: float) -> StartTimes:
     """Return the times of a process that was started at `began`."""
     folder = Path(f"/proc/{program.process.pid}")
     fields = (folder / "stat").read_text(encoding="utf-8").rpartition(")")[2].split()
@@ -67,7 +67,7 @@
             assert await client.request(resp(b"PING")) == b"PONG"
         except (EOFError, ConnectionError):
             continue
-        start = times(program, began)
+        start = start_times(program, began)
         client.writer.close()
         return start
 
--- a/tests/test_net_tls.py
+++ b/tests/test_net_tls.py
@@ -40,7 +40,7 @@
 from tests.test_net_restart import free_port
 
 PING = resp(b"PING")
-LONG = bytes(range(256)) * (MAX_VALUE_BYTES // 256)
+LONG_VALUE = bytes(range(256)) * (MAX_VALUE_BYTES // 256)
 
 
 @pytest.fixture
@@ -121,15 +121,15 @@
     async def body() -> None:
         pair = authority.sign("both")
         async with (
-            SecurePeer(pair, LONG) as peer,
+            SecurePeer(pair, LONG_VALUE) as peer,
             running_ingress(
                 config(endpoint_entry(peer.address), tls=pair.spec(), **{"server-tls": {"ca": str(authority.path)}})
             ) as (_, address),
         ):
             client = await secure(address, trusting(authority))
-            assert await client.request(command(d=10_000)) == LONG
-            answer = await client.request(command("2" * 16, "order", d=10_000, body=LONG))
-            assert answer == LONG and peer.commands[-1][-1] == LONG
+            assert await client.request(command(d=10_000)) == LONG_VALUE
+            answer = await client.request(command("2" * 16, "order", d=10_000, body=LONG_VALUE))
+            assert answer == LONG_VALUE and peer.commands[-1][-1] == LONG_VALUE
 
     run_async(body())
 
@@ -220,7 +220,7 @@
 def test_reload_applies_a_renewed_certificate_and_rejects_a_mismatched_one(
     authority: Authority, tmp_path: Path
 ) -> None:
-    """Runs a real process and reloads its configuration with SIGHUP."""
+    """A real process reloads its configuration on SIGHUP."""
     pair, port = authority.sign("ingress"), free_port()
     path = tmp_path / "config.json"
     path.write_text(config_text(listen=f"127.0.0.1:{port}", tls=pair.spec()), encoding="utf-8")
--- a/tests/test_net_upload.py
+++ b/tests/test_net_upload.py
@@ -33,9 +33,9 @@
 from tests.peers import resp as words
 from tests.test_net_ingress import StubGateway, running_ingress, start_attempts
 
-LONG = bytes(range(256)) * 4096  # 1 MiB
-UPLOAD = command("long", cls="order", body=LONG)
-HEAD = UPLOAD.index(LONG)
+LONG_BODY = bytes(range(256)) * 4096  # 1 MiB
+UPLOAD = command("long", cls="order", body=LONG_BODY)
+BODY_OFFSET = UPLOAD.index(LONG_BODY)
 
 
 def length_endpoint() -> Peer:
@@ -85,9 +85,9 @@
             for at in range(0, len(data), step):
                 client.writer.write(data[at : at + step])
                 await client.writer.drain()
-            assert [await client.read_answer() for _ in range(3)][1] == b"%d" % len(LONG)
+            assert [await client.read_answer() for _ in range(3)][1] == b"%d" % len(LONG_BODY)
             [long] = [c for c in peer.commands if c[2] == b"long"]
-            assert long[4] == LONG and b"d=2000" in long[3]
+            assert long[4] == LONG_BODY and b"d=2000" in long[3]
             assert {c[2] for c in peer.commands} == {b"before", b"long", b"after"}
             assert (
                 served.metrics.attempts_sent == 3
@@ -101,9 +101,9 @@
     first_received = asyncio.Event()
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        await reader.readexactly(HEAD + 100)
+        await reader.readexactly(BODY_OFFSET + 100)
         first_received.set()
-        await reader.readexactly(len(UPLOAD) - HEAD - 100)
+        await reader.readexactly(len(UPLOAD) - BODY_OFFSET - 100)
         writer.write(endpoint_answer(b"served"))
         await reader.read()
 
@@ -113,11 +113,11 @@
             served.runner.gateway = stub  # type: ignore[assignment]
             data = UPLOAD.replace(b"d=2000", b"d=0300")
             client = await RespClient.connect(address)
-            client.writer.write(data[: HEAD + 100])
+            client.writer.write(data[: BODY_OFFSET + 100])
             await first_received.wait()
             await asyncio.sleep(0.4)  # Longer than the timeout of the request.
             assert served.metrics.attempts_sent == 0
-            client.writer.write(data[HEAD + 100 :])
+            client.writer.write(data[BODY_OFFSET + 100 :])
             assert await client.read_answer() == b"served"
             assert [type(e) for e in stub.seen] == [RequestReceived, UploadStarted, UploadFinished, AttemptEnded]
             assert [e.is_chunked for e in stub.of(RequestReceived)] == [True]
@@ -166,7 +166,7 @@
 
 def test_no_other_attempt_replaces_one_that_has_received_chunks() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        await reader.readexactly(HEAD + 100)
+        await reader.readexactly(BODY_OFFSET + 100)
 
     async def body() -> None:
         async with (
@@ -177,12 +177,12 @@
             ),
         ):
             client = await RespClient.connect(address)
-            client.writer.write(UPLOAD[: HEAD + 100])
+            client.writer.write(UPLOAD[: BODY_OFFSET + 100])
             answer = str(await client.read_answer())
             # The connection broke before the last byte, so the request was not executed.
             assert answer.startswith("BUSY")
             assert peer.connections == 1
-            client.writer.write(UPLOAD[HEAD + 100 :] + command("next"))
+            client.writer.write(UPLOAD[BODY_OFFSET + 100 :] + command("next"))
             await wait_until(lambda: served.requests.received_count == 2)  # The remaining body is read and dropped.
             assert served.budget.streaming_uploads == 0
 
@@ -206,21 +206,21 @@
 
             served.runner.gateway = StubGateway(plan)  # type: ignore[assignment]
             client = await RespClient.connect(address)
-            assert await client.request(UPLOAD) == b"%d" % len(LONG)
+            assert await client.request(UPLOAD) == b"%d" % len(LONG_BODY)
 
     run_async(body())
 
 
 def test_a_client_that_disconnects_during_its_upload_ends_the_attempt() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        await reader.readexactly(HEAD + 100)
+        await reader.readexactly(BODY_OFFSET + 100)
         peer.commands.append([])
         await reader.read()
 
     async def body() -> None:
         async with peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             client = await RespClient.connect(address)
-            client.writer.write(UPLOAD[: HEAD + 100])
+            client.writer.write(UPLOAD[: BODY_OFFSET + 100])
             await wait_until(lambda: peer.commands)
             client.writer.close()
             await wait_until(
@@ -244,7 +244,7 @@
             running_ingress(config(endpoint_entry(peer.address))) as (served, address),
         ):
             client = await RespClient.connect(address)
-            client.writer.write(UPLOAD[: HEAD + 100])
+            client.writer.write(UPLOAD[: BODY_OFFSET + 100])
             with pytest.raises((EOFError, ConnectionError)):
                 await client.read_answer()
             await wait_until(lambda: not served.requests.in_flight)
@@ -257,8 +257,8 @@
     "data",
     [
         command(cls="order", body=bytes(resp.MAX_VALUE_BYTES + 1)),
-        words(b"GET", LONG),
-        words(b"API.WRITE", b"x", b"x", LONG),
+        words(b"GET", LONG_BODY),
+        words(b"API.WRITE", b"x", b"x", LONG_BODY),
         UPLOAD[:-2] + b"xx",
     ],
 )
@@ -285,7 +285,7 @@
         async with fake_endpoint() as peer, running_ingress(config(endpoint_entry(peer.address))) as (served, address):
             served.runner.gateway = StubGateway(lambda event: [])  # type: ignore[assignment]
             client = await RespClient.connect(address)
-            client.writer.write(UPLOAD[: HEAD + 100])
+            client.writer.write(UPLOAD[: BODY_OFFSET + 100])
             await wait_until(lambda: [c for c in served.clients.connections if c.upload_paused])
             [connection] = served.clients.connections
             skipped = 10 * upload_reader.CHUNK_TIMEOUT
