--- a/ingress/emulator/live/__init__.py
+++ b/ingress/emulator/live/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on real sockets: stand-ins for servers, discovery and counter, open load, real processes."""
+"""Experiments on real sockets: real ingress processes, an open load, and fake servers, discovery and counter."""
--- a/ingress/emulator/live/agent.py
+++ b/ingress/emulator/live/agent.py
@@ -1,4 +1,4 @@
-"""A stand-in for discovery: the agent on an ingress's machine, which answers with what was sent to it."""
+"""A fake discovery agent, as on the machine of an ingress: it serves the endpoint list that was published to it."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from ingress.runtime.sockets import Address
 
 PATH = "/api/targets"
-MOST_WAIT = 60.0  # s
+MOST_WAIT = 60.0
 
 
 def row(entry: Endpoint, address: Address) -> dict[str, object]:
-    """An entry in discovery's form; `started` counts as Unix time already."""
+    """Return an entry in the form of the endpoint registry; `started_at` is Unix time here."""
     return {
         "id": entry.id,
         "addr": f"{address[0]}:{address[1]}",
@@ -34,7 +34,15 @@
 
 
 class Agent:
-    """`address_of` and `unix` put an entry in discovery's words; `written` hears what an answer told."""
+    """A server of endpoint lists and of watches for their changes.
+
+    Attributes:
+        address_of: Returns the address of an endpoint by its ID.
+        unix: Returns an entry with its start in Unix time.
+        written: Called with the entries of each response and whether they are the complete list.
+        since: The version from which on all changes are kept.
+        silent: Whether requests stay without a response, as while discovery is down.
+    """
 
     def __init__(
         self,
@@ -45,7 +53,9 @@
         self.address_of = address_of
         self.unix = unix
         self.written = written
-        self.version, self.since, self.silent = 1, 1, False  # `since`: from where on all changes are kept
+        self.version = 1
+        self.since = 1
+        self.silent = False
         self.entries: dict[str, Endpoint] = {}
         self.changes: list[tuple[int, Endpoint]] = []
         self.waiting: set[Watch] = set()
@@ -53,12 +63,12 @@
         self.address: Address = ("", 0)
 
     async def open(self) -> None:
-        """Listens on a port of its own."""
+        """Listen on a free port."""
         self.listener = await asyncio.get_running_loop().create_server(lambda: Watch(self), "127.0.0.1", 0)
         self.address = self.listener.sockets[0].getsockname()
 
     def learn(self, event: EndpointsChanged) -> None:
-        """Discovery has sent this to the agent."""
+        """Apply a change that discovery published, and answer the watches."""
         self.version = max(self.version + 1, event.version)
         if event.kind is EndpointListKind.REPLACE:
             self.entries = {entry.id: entry for entry in event.endpoints}
@@ -74,12 +84,12 @@
         self.wake()
 
     def wake(self) -> None:
-        """Answers the watches that have something to learn."""
+        """Answer the watches whose version is outdated."""
         for watch in list(self.waiting):
             watch.look()
 
     def known(self) -> dict[str, object]:
-        """The list as the configuration of an ingress holds it."""
+        """Return the complete list, as in the configuration of an ingress."""
         return {
             "version": self.version,
             "full": True,
@@ -87,7 +97,7 @@
         }
 
     def answer(self, after: int | None) -> dict[str, object]:
-        """The whole list, or what changed since `after`."""
+        """Return the changes since version `after`, or the complete list if they are not known."""
         if after is None or not self.since <= after <= self.version:
             self.written(list(self.entries.values()), True)
             return self.known()
@@ -103,7 +113,7 @@
         }
 
     def close(self) -> None:
-        """Stops listening and ends the watches."""
+        """Stop listening and reset the connections of the watches."""
         if self.listener is not None:
             self.listener.close()
         for watch in list(self.waiting):
@@ -111,7 +121,11 @@
 
 
 class Watch(asyncio.Protocol):
-    """One connection; one call at a time."""
+    """One HTTP connection to the agent, with one request at a time.
+
+    Attributes:
+        asked: The version that the pending request names, and the timer that ends its wait.
+    """
 
     def __init__(self, agent: Agent) -> None:
         self.agent = agent
@@ -121,11 +135,11 @@
         self.asked: tuple[int | None, asyncio.TimerHandle | None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the connection; from asyncio."""
+        """Keep the transport; called by asyncio."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes of a request; from asyncio."""
+        """Parse bytes of a request; called by asyncio."""
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
@@ -133,15 +147,15 @@
             self.end()
 
     def on_message_begin(self) -> None:
-        """A request begins; from the parser."""
+        """Begin a request; called by the parser."""
         self.url = b""
 
     def on_url(self, url: bytes) -> None:
-        """Takes a part of the URL; from the parser."""
+        """Append a part of the URL; called by the parser."""
         self.url += url
 
     def on_message_complete(self) -> None:
-        """Answers the request, or waits for a change; from the parser."""
+        """Answer the request, or wait for a change; called by the parser."""
         parts = urlsplit(self.url.decode("ascii", "replace"))
         query = {key: found[-1] for key, found in parse_qs(parts.query).items()}
         numbers = {key: text for key, text in query.items() if text.isdecimal()}
@@ -159,13 +173,13 @@
             self.look()
 
     def look(self) -> None:
-        """Whether there is something to tell by now."""
+        """Answer the pending request if the list has changed since the version that it names."""
         if self.asked is not None and self.asked[0] != self.agent.version:
             self._answer()
 
     def _answer(self) -> None:
         if self.asked is None or self.agent.silent:
-            return  # it hears once discovery is back, if it still waits
+            return  # a request that still waits is answered once discovery is back
         after, timer = self.asked
         if timer is not None:
             timer.cancel()
@@ -183,7 +197,7 @@
             )
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Forgets what the connection waited for; from asyncio."""
+        """Forget the pending request and cancel its timer; called by asyncio."""
         self.transport = None
         self.agent.waiting.discard(self)
         if self.asked is not None and self.asked[1] is not None:
@@ -191,6 +205,6 @@
         self.asked = None
 
     def end(self) -> None:
-        """Resets the connection."""
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/ingress/emulator/live/authority.py
+++ b/ingress/emulator/live/authority.py
@@ -1,4 +1,4 @@
-"""Certificates for plays and tests: an authority, and what it signs.  Needs requirements-tls.txt."""
+"""A certificate authority for experiments and tests, and the certificates it signs.  Needs requirements-tls.txt."""
 
 from __future__ import annotations
 
@@ -23,12 +23,15 @@
     key: Path
 
     def spec(self, **more: str) -> dict[str, str]:
-        """The table `tls` of a configuration that names this pair."""
+        """Return the `tls` table of a configuration that names these files."""
         return {"certificate": str(self.certificate), "key": str(self.key), **more}
 
 
 class Authority:
-    """Signs certificates for 127.0.0.1 and one name, in a folder; keys are unencrypted unless a password is given."""
+    """A certificate authority that signs certificates for 127.0.0.1 and one name.
+
+    Files are written to its folder; keys are unencrypted unless a password is given.
+    """
 
     def __init__(self, folder: Path, name: str = "authority") -> None:
         self.folder = folder
@@ -51,7 +54,14 @@
         self.path.write_bytes(self.certificate.public_bytes(serialization.Encoding.PEM))
 
     def sign(self, name: str, begins: float = -1.0, ends: float = 30.5, password: bytes | None = None) -> Pair:
-        """`begins` and `ends`: when it is valid, in days from now."""
+        """Sign a certificate for a name and return its files.
+
+        Args:
+            name: The DNS name, which also names the files.
+            begins: The start of the validity in days from now.
+            ends: The end of the validity in days from now.
+            password: The password that encrypts the key, if any.
+        """
         key = ec.generate_private_key(ec.SECP256R1())
         now = datetime.now(UTC)
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
--- a/ingress/emulator/live/clients.py
+++ b/ingress/emulator/live/clients.py
@@ -1,4 +1,4 @@
-"""Connections of clients to one ingress: a request goes out at its time, on a free or a new connection."""
+"""Connections of clients to one ingress: a request is sent when it is due, on an idle or a new connection."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 from ingress.emulator.kernel import Clock
 
 NOTHING = object()
-TLS_NAME = "ingress"  # in the certificate of a play's ingresses
-MOST_WAITING = 10_000  # requests of one client process at one ingress
+TLS_NAME = "ingress"  # the name in the certificate of the ingresses
+MOST_WAITING = 10_000  # per ingress
 
 
 class Checks:
-    """What the clients tell of an answer that breaks a rule; replaced by who plays."""
+    """Callbacks for the responses that clients receive; the methods do nothing unless a subclass overrides them."""
 
     def served(self, held: PendingRequest, value: bytes) -> None:
-        """A value has come for the request."""
+        """Handle a value that arrived for the request."""
 
     def refused(self, held: PendingRequest) -> None:
-        """The request was rejected."""
+        """Handle the rejection of the request."""
 
     def failed(self, held: PendingRequest) -> None:
-        """The request failed."""
+        """Handle the failure of the request."""
 
     def dropped(self, held: PendingRequest) -> None:
-        """The connection of the request ended without an answer."""
+        """Handle the close of the connection before a response to the request."""
 
     def odd(self, text: str) -> None:
-        """Something came that the protocol does not allow."""
+        """Handle a violation of the protocol."""
 
 
 def command(event: RequestReceived, left_ms: int) -> bytes:
-    """The request as RESP; `left_ms` is how long the client still waits."""
+    """Encode a request as RESP; `left_ms` is how long the client still waits."""
     names = (
         f"c={event.request_class},t={event.plan},d={max(1, left_ms)},units={event.units:g},"
         f"spread={event.gateway_count},first={event.first_gateway}"
@@ -49,26 +49,33 @@
     if event.is_write:
         names += f",k={event.request_id.partition('.')[0]:0>16}"
     words += [names.encode(), b"body"] if event.is_write else [names.encode()]
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
+    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
 
 
 class Connection(asyncio.Protocol):
-    """One connection; one request at a time."""
+    """One connection to the ingress, with one request at a time.
+
+    Attributes:
+        held: The request that waits for its response.
+        event: The last request as it was sent.
+        answers: The number of responses received.
+    """
 
     def __init__(self, caller: Caller) -> None:
-        self.caller, self.reader = caller, hiredis.Reader(notEnoughData=NOTHING)
+        self.caller = caller
+        self.reader = hiredis.Reader(notEnoughData=NOTHING)
         self.transport: asyncio.Transport | None = None
         self.held: PendingRequest | None = None
         self.event: RequestReceived | None = None
         self.answers = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the connection; from asyncio."""
+        """Register the connection; called by asyncio."""
         self.transport = cast(asyncio.Transport, transport)
         self.caller.connections.add(self)
 
     def ask(self, held: PendingRequest, event: RequestReceived) -> None:
-        """Sends a request, in the form of the protocol."""
+        """Send a request with the time that its client still waits."""
         assert self.transport is not None
         self.held = held
         self.event = event
@@ -76,20 +83,20 @@
         self.transport.write(command(event, int(left * 1000)))
 
     def data_received(self, data: bytes) -> None:
-        """Reads answers; from asyncio."""
+        """Parse and handle responses; called by asyncio."""
         try:
             self.reader.feed(data)
             while (answer := self.reader.gets()) is not NOTHING:
                 self._answer(answer)
         except hiredis.HiredisError as error:
-            self.caller.checks.odd(f"gateway {self.caller.number}: not RESP: {error}")
+            self.caller.checks.odd(f"gateway {self.caller.number}: sent data that is not RESP: {error}")
             self.end()
 
     def _answer(self, answer: object) -> None:
         held = self.held
         self.held = None
         if held is None:
-            self.caller.checks.odd(f"gateway {self.caller.number}: an answer that nothing asked for: {answer!r:.80}")
+            self.caller.checks.odd(f"gateway {self.caller.number}: sent a response without a request: {answer!r:.80}")
             self.end()
             return
         self.answers += 1
@@ -97,11 +104,11 @@
         self.caller.ended(held, answer)
 
     def eof_received(self) -> None:
-        """The ingress has ended its side; from asyncio."""
+        """Reset the connection when the ingress closes its side; called by asyncio."""
         self.end()
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Accounts for a request without an answer; from asyncio."""
+        """Handle a request that is left without a response; called by asyncio."""
         self.transport = None
         self.caller.connections.discard(self)
         if self in self.caller.idle:
@@ -112,13 +119,17 @@
             self.caller.lost(self, held)
 
     def end(self) -> None:
-        """Resets the connection."""
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class Caller:
-    """All connections to one ingress, as `ingress.emulator.gateways.RequestTarget`."""
+    """All client connections to one ingress; implements `ingress.emulator.gateways.RequestTarget`.
+
+    Attributes:
+        taken: Called with each request before it is sent.
+    """
 
     def __init__(
         self, kernel: Clock, number: int, address: tuple[str, int], checks: Checks, tls: ssl.SSLContext | None = None
@@ -135,14 +146,14 @@
         self.idle: list[Connection] = []
         self.pending: dict[str, PendingRequest] = {}
         self.tasks: set[asyncio.Task[None]] = set()
-        self.taken: Callable[[PendingRequest], None] = lambda _: None  # is called with each request that goes out
+        self.taken: Callable[[PendingRequest], None] = lambda _: None
 
     def submit(self, held: PendingRequest, event: RequestReceived) -> None:
-        """Sends a request on an idle connection, or on a new one."""
+        """Send a request on an idle connection, or on a new one."""
         if held.is_disconnected:
             return
         if len(self.pending) >= MOST_WAITING:
-            self.checks.odd(f"gateway {self.number}: more than {MOST_WAITING} requests wait")
+            self.checks.odd(f"gateway {self.number}: more than {MOST_WAITING} requests are pending")
             self.load_balancer.connection_lost(held)
             return
         self.pending[event.request_id] = held
@@ -183,10 +194,10 @@
             self.load_balancer.connection_lost(held)
 
     def lost(self, connection: Connection, held: PendingRequest) -> None:
-        """The connection ended under a request.
+        """Handle a connection that was closed while its request was pending.
 
-        One that was used before may have crossed a close that had nothing to do with the request: the request is sent
-        once more, on a new connection.
+        On a reused connection the request may have crossed a close that was unrelated to it, so it is sent once more on
+        a new connection.
         """
         if held.is_disconnected:
             self.pending.pop(held.record.id, None)
@@ -198,7 +209,7 @@
             self._cut(held)
 
     def ended(self, held: PendingRequest, answer: object) -> None:
-        """A request has its answer, or will get none."""
+        """Classify the response to a request and notify the observer and the load balancer."""
         self.pending.pop(held.record.id, None)
         if held.answered or held.is_disconnected:
             return
@@ -217,7 +228,7 @@
             self.load_balancer.request_failed(held, "error")
 
     def client_disconnected(self, held: PendingRequest) -> None:
-        """The client goes: it closes its connection."""
+        """Close the connection of a client that no longer waits for its request."""
         held.is_disconnected = True
         self.pending.pop(held.record.id, None)
         for connection in list(self.connections):
@@ -225,7 +236,7 @@
                 connection.end()
 
     def close(self) -> None:
-        """Resets all connections and ends the tasks."""
+        """Reset all connections and cancel the tasks."""
         for task in self.tasks:
             task.cancel()
         for connection in list(self.connections):
--- a/ingress/emulator/live/counter.py
+++ b/ingress/emulator/live/counter.py
@@ -1,4 +1,4 @@
-"""A stand-in for the counter: numbers by name, one text line a call."""
+"""A fake shared counter: sums by name, with one line of text per call."""
 
 from __future__ import annotations
 
@@ -6,26 +6,33 @@
 import math
 from typing import cast
 
-MOST_NAME, MOST_AMOUNT, MOST_LIFE = 64, 1e9, 60.0  # bytes; either way; s
-LONGEST_LINE = 256  # bytes
+MOST_NAME = 64
+MOST_AMOUNT = 1e9  # of the absolute value
+MOST_LIFE = 60.0
+LONGEST_LINE = 256
 
 
 class Counter:
-    """Names live from their first call for the time that it gave."""
+    """A counter whose names expire after the time given by the first call that creates them.
+
+    Attributes:
+        calls: The number of valid `add` calls.
+        numbers: The sum and the time of expiry of each name.
+    """
 
     def __init__(self) -> None:
         self.calls = 0
-        self.numbers: dict[str, tuple[float, float]] = {}  # total, and until when it lives
+        self.numbers: dict[str, tuple[float, float]] = {}
         self.listener: asyncio.Server | None = None
         self.address: tuple[str, int] = ("", 0)
 
     async def open(self) -> None:
-        """Listens on a port of its own."""
+        """Listen on a free port."""
         self.listener = await asyncio.get_running_loop().create_server(lambda: Line(self), "127.0.0.1", 0)
         self.address = self.listener.sockets[0].getsockname()
 
     def answer(self, line: str, now: float) -> str:
-        """The answer to one call, without its end of line."""
+        """Return the response to one call, without its end of line."""
         match line.split(" "):
             case ["ping"]:
                 return "pong"
@@ -49,13 +56,13 @@
         return "error"
 
     def close(self) -> None:
-        """Stops listening."""
+        """Stop listening."""
         if self.listener is not None:
             self.listener.close()
 
 
 class Line(asyncio.Protocol):
-    """One connection."""
+    """One connection to the counter."""
 
     def __init__(self, counter: Counter) -> None:
         self.counter = counter
@@ -63,11 +70,11 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the connection; from asyncio."""
+        """Keep the transport; called by asyncio."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Answers each complete line; from asyncio."""
+        """Answer each complete line; close the connection if the rest is too long for a line; called by asyncio."""
         assert self.transport is not None
         *lines, self.left = (self.left + data).split(b"\r\n")
         now = asyncio.get_running_loop().time()
--- a/ingress/emulator/live/ingress.py
+++ b/ingress/emulator/live/ingress.py
@@ -1,4 +1,4 @@
-"""One real ingress under an experiment: its configuration, its process, its signals, its log."""
+"""One real ingress process in an experiment: its configuration, process, signals and log."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 from ingress.errors import IngressError
 from ingress.runtime.sockets import Address
 
-READY = 15.0  # s for a process to say that it serves
-LOOK = 0.05  # s between looks whether it does
-CALL = 2.0  # s for an answer of the second address
+READY = 15.0
+LOOK = 0.05
+CALL = 2.0
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
 class NotReadyError(IngressError):
-    """The process did not come up; the text has its last words."""
+    """The process did not become ready; the message contains the last lines of its log."""
 
 
 def wire_settings(settings: Settings, connect_timeout: float, idle: float, most_open: int = 20_000) -> dict[str, Any]:
-    """The settings in the words of the configuration."""
+    """Return the settings in the form of the configuration file."""
     return {
         "balancers": settings.gateway_count,
         "self-index": settings.gateway_index,
@@ -92,7 +92,12 @@
 
 
 async def call(address: Address, line: str) -> str:
-    """The answer of a second address to one line."""
+    """Send one line to an admin server and return its response.
+
+    Raises:
+        TimeoutError: The admin server does not answer in time.
+        OSError: The connection fails.
+    """
     async with asyncio.timeout(CALL):
         reader, writer = await asyncio.open_connection(*address)
         try:
@@ -105,14 +110,18 @@
 class Process:
     """A real process of an ingress.
 
-    `folder` holds its configuration and its log, which a later start appends to.  `label` tells it from others of the
-    same ingress, which share its name and its temporary folder.
+    Attributes:
+        folder: The folder of the configuration file and the log; a later start appends to the log.
+        label: The name of both files; processes of the same ingress share their name and temporary folder, not the
+            label.
+        expected: Whether this object has sent the signal that ends the process.
+        cpu: The CPU time in seconds of the processes that were ended by SIGKILL.
     """
 
     def __init__(
         self, name: str, listen: Address, control: Address, folder: Path, label: str = "", tree: Path | None = None
     ) -> None:
-        """`tree`: a folder with the package to run, in place of this one."""
+        """Prepare a process; with `tree`, it runs the package in that folder in place of this one."""
         self.tree = tree
         self.name = name
         self.listen = listen
@@ -121,8 +130,8 @@
         self.label = label or name
         self.path = folder / f"{self.label}.json"
         self.child: asyncio.subprocess.Process | None = None
-        self.expected = False  # that it ends
-        self.cpu = 0.0  # s of the processes that have ended
+        self.expected = False
+        self.cpu = 0.0
 
     def write(
         self,
@@ -133,7 +142,7 @@
         settings: dict[str, Any],
         **more: Any,
     ) -> None:
-        """The configuration file, put in place by a rename; `more`: further keys of it."""
+        """Write the configuration file and put it in place by a rename; `more` holds further keys of it."""
         source = {
             "name": self.name,
             "listen": f"{self.listen[0]}:{self.listen[1]}",
@@ -151,7 +160,11 @@
         draft.replace(self.path)
 
     async def start(self) -> None:
-        """Starts it and waits until it serves."""
+        """Start the process and wait until it is ready.
+
+        Raises:
+            NotReadyError: The process exits, or is not ready in time.
+        """
         self.expected = False
         temporary = self.folder / f"{self.name}.tmp"
         temporary.mkdir(exist_ok=True)
@@ -178,19 +191,19 @@
                     await asyncio.sleep(LOOK)
         except TimeoutError:
             pass
-        raise NotReadyError(f"{self.label} does not serve: {self.last_words()}")
+        raise NotReadyError(f"{self.label} did not become ready within {READY:g} s: {self.last_words()}")
 
     def last_words(self) -> str:
-        """The last lines of its log, for an error message."""
+        """Return the last lines of the log, for an error message."""
         text = (self.folder / f"{self.label}.log").read_text(encoding="utf-8", errors="replace")
         return " | ".join(text.strip().split("\n")[-3:])
 
     def running(self) -> bool:
-        """Whether the process has been started and has not ended."""
+        """Report whether the process has been started and has not exited."""
         return self.child is not None and self.child.returncode is None
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal to the process, if it runs."""
+        """Send a signal to the process, if it runs."""
         if self.child is not None and self.running():
             if number in (signal.SIGKILL, signal.SIGTERM):
                 self.expected = True
@@ -200,7 +213,7 @@
                 self.child.send_signal(number)
 
     async def ended(self, within: float) -> int | None:
-        """Its exit status; None: it still runs."""
+        """Wait for the process to exit and return its status, or None if it was never started or still runs."""
         if self.child is None:
             return None
         try:
@@ -210,7 +223,7 @@
             return None
 
     def used(self) -> tuple[float, int]:
-        """Seconds of the processor and bytes of memory that the process has taken, as the system says."""
+        """Return the CPU time in seconds and the resident memory in bytes; zeros if the process does not run."""
         if self.child is None or not self.running():
             return 0.0, 0
         try:
--- a/ingress/emulator/live/load.py
+++ b/ingress/emulator/live/load.py
@@ -1,4 +1,4 @@
-"""An open load on an ingress that runs already."""
+"""An open load on an ingress that is already running."""
 
 from __future__ import annotations
 
@@ -25,9 +25,11 @@
 from ingress.emulator.testbed import build_result
 from ingress.errors import IngressError
 
+CONNECT_TIMEOUT_S = 2.0
+
 
 class LoadTargetError(IngressError):
-    """The ingress can't be loaded."""
+    """The ingress can't be put under load: its configuration is invalid or it does not answer."""
 
     def __init__(self, faults: list[str]) -> None:
         super().__init__("; ".join(faults))
@@ -35,7 +37,10 @@
 
 
 def experiment_of(settings: Settings, rate: float, seconds: float, retries: int) -> Experiment:
-    """Customers of the settings' plans, each well inside its quota, who ask `rate` first tries a second."""
+    """Build an experiment whose customers have the plans of the settings.
+
+    Each customer stays well within its quota; together they send `rate` first attempts per second.
+    """
     return build_experiment(
         {
             "name": "load",
@@ -73,18 +78,21 @@
 
 
 class Load(Checks):
-    """Clients alone: servers, list and gateway are somebody else's."""
+    """Clients only; the servers, the endpoint list and the gateway exist outside this process."""
 
     def __init__(self, experiment: Experiment, seed: int, address: tuple[str, int]) -> None:
-        self.experiment, self.seed, self.kernel = experiment, seed, RealKernel()
+        self.experiment = experiment
+        self.seed = seed
+        self.kernel = RealKernel()
         draws = random_streams(seed, ("arrivals", "front", "network"))
-        self.record, self.rules = Recorder(), RuleChecker(experiment, mean_work(experiment))
+        self.recorder = Recorder()
+        self.rules = RuleChecker(experiment, mean_work(experiment))
         self.caller = Caller(self.kernel, 0, address, self)
         self.clients = ClientPopulation(
             self.kernel,
             experiment,
             NetworkModel(experiment.network, draws["network"]),
-            self.record,
+            self.recorder,
             [self.caller],
             draws["arrivals"],
             draws["front"],
@@ -93,8 +101,8 @@
         self.caller.up = True
         self.ended_early = asyncio.Event()
 
-    async def play(self) -> dict[str, Any]:
-        """Sends the load and waits for the last answers; the result as plain data."""
+    async def run(self) -> dict[str, Any]:
+        """Send the load, wait for the last responses and return the result as plain data."""
         began = time.process_time()
         self.clients.start()
         last = self.experiment.seconds + max(c.deadline_s for c in self.experiment.classes)
@@ -103,39 +111,45 @@
                 await self.ended_early.wait()
         self.kernel.stop()
         self.caller.close()
-        found = build_result(self.kernel, self.seed, self.record, self.rules, time.process_time() - began)
-        found["exact"]["whole"] = not self.ended_early.is_set()
-        found["late_ms"] = self.kernel.late.percentiles()
-        return found
+        result = build_result(self.kernel, self.seed, self.recorder, self.rules, time.process_time() - began)
+        result["exact"]["whole"] = not self.ended_early.is_set()
+        result["late_ms"] = self.kernel.late.percentiles()
+        return result
 
     def dropped(self, _held: PendingRequest) -> None:
-        """Counts a connection that ended without an answer."""
-        self.record.count(self.kernel.now, "connections that ended without an answer")
+        """Count a connection that was closed without a response."""
+        self.recorder.count(self.kernel.now, "connections that ended without an answer")
 
     def odd(self, text: str) -> None:
-        """Counts a violation of the protocol."""
+        """Count a violation of the protocol."""
         self.rules.report_violation("protocol", self.kernel.now, text)
 
 
 def send_load(path: Path, rate: float, seconds: float, seed: int, retries: int) -> dict[str, Any]:
-    """Loads the ingress whose configuration is at `path`; the result as of an experiment's play."""
+    """Put the ingress whose configuration is at `path` under load; return a result as of a run of an experiment.
+
+    Raises:
+        LoadTargetError: The configuration is invalid, or nothing listens on its address.
+    """
     try:
         config = load_config(str(path))
         experiment = experiment_of(config.settings, rate, seconds, retries)
     except (ConfigError, ExperimentError) as error:
         raise LoadTargetError(error.faults) from error
 
-    async def day() -> dict[str, Any]:
+    async def run() -> dict[str, Any]:
         try:
-            async with asyncio.timeout(2.0):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(*config.listen)
         except OSError as error:
-            raise LoadTargetError([f"nothing answers at {config.listen[0]}:{config.listen[1]}: {error}"]) from None
+            raise LoadTargetError(
+                [f"can't connect to the ingress at {config.listen[0]}:{config.listen[1]}: {error}"]
+            ) from None
         writer.close()
         load = Load(experiment, seed, config.listen)
-        for number in (signal.SIGINT, signal.SIGTERM):
-            asyncio.get_running_loop().add_signal_handler(number, load.ended_early.set)
-        return await load.play()
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            asyncio.get_running_loop().add_signal_handler(signal_number, load.ended_early.set)
+        return await load.run()
 
-    result: dict[str, Any] = uvloop.run(day())
+    result: dict[str, Any] = uvloop.run(run())
     return result
--- a/ingress/emulator/live/loopback.py
+++ b/ingress/emulator/live/loopback.py
@@ -1,16 +1,21 @@
-"""Addresses of this play's processes on the loopback net: the same after each start, and no other play's."""
+"""Loopback addresses for the processes of this run: stable across restarts and distinct from those of other runs."""
 
 from __future__ import annotations
 
 import ipaddress
 import os
 
-MOST = 1024  # addresses of one play
-FIRST, PLAYS = ipaddress.IPv4Address("127.64.0.0"), 8192  # blocks up to 127.191.255.255, one for each play
+MOST = 1024
+FIRST = ipaddress.IPv4Address("127.64.0.0")
+PLAYS = 8192  # one block of addresses per run, up to 127.191.255.255
 
 
 def loopback(number: int) -> str:
-    """The address of a process, by its number from 0."""
+    """Return the address of a process by its number, counted from 0.
+
+    Raises:
+        ValueError: The number is negative or not below the number of addresses of a run.
+    """
     if not 0 <= number < MOST:
-        raise ValueError(f"number {number} is not below {MOST}")
+        raise ValueError(f"process number {number} has no address; expected 0 to {MOST - 1}")
     return str(FIRST + os.getpid() % PLAYS * MOST + number)
--- a/ingress/emulator/live/play.py
+++ b/ingress/emulator/live/play.py
@@ -1,4 +1,4 @@
-"""One play of an experiment on real sockets: real ingress processes among stand-ins, under an open load."""
+"""One run of an experiment on real sockets: real ingress processes and fake servers, under an open load."""
 
 from __future__ import annotations
 
@@ -31,18 +31,20 @@
 from ingress.emulator.servers import ServerModel
 from ingress.emulator.testbed import LOAD_BALANCER_REACTION_S, SAMPLE_INTERVAL_S, Testbed, gateway_settings
 
-SLACK = 0.05  # s beside the rules' own on real sockets
-LATE = 0.02  # s: when this process was so late itself, nobody is blamed for an answer out of time
+# Real sockets add this to the slack of the rules themselves.
+SLACK = 0.05
+# When this process itself was later than this within the last second, late responses do not count as violations.
+LATE = 0.02
 TURNED_DOWN = "app.turned_down."
 STATES = ("healthy", "suspect", "ejected", "trial")
-SERVER_NAME = "server"  # in the certificate of a play's servers
-END = 5.0  # s for a process to end at the end of the day
+SERVER_NAME = "server"  # the name in the certificate of the fake servers
+END = 5.0
 CLIENT_PORT = 6379
 CONTROL_PORT = 7001
 
 
 def read_figures(text: str) -> dict[str, float]:
-    """What `show-stat` says; lines that are no figure are left out."""
+    """Parse the response to `show-stat` into values by name; lines without a number are skipped."""
     found = {}
     for line in text.split("\n"):
         name, _, rest = line.partition(":")
@@ -53,7 +55,7 @@
 
 
 class Secure:
-    """What both sides of the ingresses need to speak TLS, made for one play."""
+    """The TLS keys and contexts for clients, ingresses and servers, generated for one run."""
 
     def __init__(self, folder: Path) -> None:
         from ingress.emulator.live.authority import Authority
@@ -68,7 +70,13 @@
 
 
 class LiveGateway(Caller):
-    """One ingress: its process, its agent, the clients' connections, and what it was told."""
+    """One ingress: its process, its discovery agent, its client connections, and the endpoint states it was sent.
+
+    Attributes:
+        leaving: By server, the time at which the ingress was first notified that the server is leaving.
+        starts: By server, the start time that the ingress was last sent.
+        turned_down: The number of rejected requests by reason, as the ingress last reported it.
+    """
 
     def __init__(
         self,
@@ -83,24 +91,25 @@
         self.process = process
         self.agent = agent
         self.paused = False
-        self.leaving: dict[str, float] = {}  # when it was told that a server leaves
+        self.leaving: dict[str, float] = {}
         self.starts: dict[str, float] = {}
-        self.turned_down: dict[str, float] = {}  # requests by reason, as last shown
+        self.turned_down: dict[str, float] = {}
 
     def endpoints_changed(self, event: EndpointsChanged) -> None:
-        """Publishes a change through its agent of discovery."""
+        """Publish a change of the endpoint list through the discovery agent."""
         self.agent.learn(event)
 
 
 class LivePlay(Testbed, Checks):
-    """The day.  As a `Ledger` it also checks what reaches the stand-ins."""
+    """A run with real processes; checks responses to clients and, as a `Ledger`, attempts at servers."""
 
     kernel: RealKernel
 
     def __init__(self, experiment: Experiment, seed: int, folder: Path) -> None:
         kernel = RealKernel()
         super().__init__(experiment, seed, kernel)
-        self.folder, self.unix = folder, time.time() - kernel.now
+        self.folder = folder
+        self.unix = time.time() - kernel.now
         folder.mkdir(parents=True, exist_ok=True)
         self.file = (folder / "emulator.log").open("w", encoding="utf-8")
         self.lines = structlog.wrap_logger(
@@ -120,7 +129,7 @@
 
     def _new_server(self) -> ServerModel:
         server = super()._new_server()
-        if hasattr(self, "stand_ins"):  # one that comes during the day
+        if hasattr(self, "stand_ins"):  # the server is added during the run
             stand_in = self._stand_in(server)
             self._later(stand_in.open(self.secure.server if self.secure else None))
         return server
@@ -140,16 +149,16 @@
             self.crashed.append(f"{type(error).__name__}: {error}")
             self.ended_early.set()
 
-    # The day
+    # The run
 
-    async def play(self) -> dict[str, Any]:
-        """Plays the day with real processes; the result as plain data."""
+    async def run(self) -> dict[str, Any]:
+        """Run the experiment with real processes and return the result as plain data."""
         began = time.process_time()
         try:
             for stand_in in self.stand_ins.values():
                 await stand_in.open(self.secure.server if self.secure else None)
             await self.counter.open()
-            await asyncio.gather(*(self._gateway(n) for n in range(self.experiment.fleet.gateways)))
+            await asyncio.gather(*(self._gateway(number) for number in range(self.experiment.fleet.gateways)))
             self.clients = ClientPopulation(
                 self.kernel,
                 self.experiment,
@@ -213,12 +222,12 @@
         )
 
     def _unix_entry(self, entry: Endpoint) -> Endpoint:
-        """Discovery speaks of starts in Unix time."""
+        """Return the entry with its start in Unix time, as discovery reports it."""
         started = entry.started_at + self.unix if entry.started_at else 0.0
         return replace(entry, started_at=started)
 
     async def _watch(self, gateway: LiveGateway) -> None:
-        """A process that ends though nobody ended it has crashed."""
+        """Wait for the process to exit; an exit that this run did not cause is reported as a crash."""
         child = gateway.process.child
         assert child is not None
         status = await child.wait()
@@ -231,14 +240,14 @@
             gateway.up = False
 
     async def _finish(self, cpu: float) -> dict[str, Any]:
-        whole = not self.ended_early.is_set()
+        completed = not self.ended_early.is_set()
         figures: dict[str, list[str]] = {}
         spent = 0.0
         memory = 0
         for gateway in self.gateways:
-            used, held = gateway.process.used()
+            used, resident = gateway.process.used()
             spent = spent + used + gateway.process.cpu
-            memory = max(memory, held)
+            memory = max(memory, resident)
             with contextlib.suppress(OSError):
                 figures[gateway.process.name] = (await call(gateway.process.control, "show-stat")).split("\n")
         for gateway in self.gateways:
@@ -253,15 +262,15 @@
             self.rules.report_violation("no talk", self.kernel.now, f"{self.counter.calls} calls to the counter")
         if self.crashed:
             raise NotReadyError("; ".join(self.crashed))
-        found = self.result(cpu)
-        found["exact"]["whole"] = whole
-        found["ingress"] = {
+        result = self.result(cpu)
+        result["exact"]["whole"] = completed
+        result["ingress"] = {
             "cpu_ms_a_try": round(1000 * spent / max(1, self.recorder.totals["tries"]), 4),
             "memory_mb": round(memory / (1 << 20), 1),
             "figures": figures,
         }
-        found["late_ms"] = self.kernel.late.percentiles()
-        return found
+        result["late_ms"] = self.kernel.late.percentiles()
+        return result
 
     async def _close(self) -> None:
         self.kernel.stop()
@@ -288,10 +297,10 @@
         self._later(self._ask_figures(second, up))
 
     async def _ask_figures(self, second: float, up: list[LiveGateway]) -> None:
-        """What the ingresses show of themselves: servers' health, as the mean, and refusals by reason."""
+        """Record what the ingresses report: the number of servers by health (mean of all) and rejections by reason."""
         answers = await asyncio.gather(
             *(call(gateway.process.control, "show-stat") for gateway in up), return_exceptions=True
-        )  # one that is killed meanwhile says nothing
+        )  # an ingress that is killed meanwhile does not answer
         found = [
             (gateway, read_figures(answer))
             for gateway, answer in zip(up, answers, strict=True)
@@ -308,23 +317,23 @@
             for name, count in figures.items():
                 if name.startswith(TURNED_DOWN):
                     more = count - gateway.turned_down.get(name, 0.0)
-                    # A process that was started anew counts from nothing.
+                    # A restarted process counts from zero.
                     self.recorder.count(second, name.removeprefix("app."), more if more >= 0 else count)
             gateway.turned_down = {name: count for name, count in figures.items() if name.startswith(TURNED_DOWN)}
 
     # Faults
 
     def reset_server(self, server: ServerModel) -> None:
-        """Resets the connections of the stand-in."""
+        """Reset the connections of the fake server."""
         self.stand_ins[server.id].reset()
 
     def vanish_server(self, server: ServerModel) -> None:
-        """The stand-in falls silent: connections stay open and new ones never come up."""
+        """Make the fake server unreachable: open connections stay open, and new ones are never established."""
         super().vanish_server(server)
         self.stand_ins[server.id].vanish()
 
     def kill_gateway(self, number: int, drained: bool = False) -> None:
-        """Sends SIGKILL to the process."""
+        """Send SIGKILL to the process."""
         gateway = self.gateways[number]
         if not gateway.up and not (drained and gateway.process.running()):
             return
@@ -336,12 +345,12 @@
             self.clients.gateway_down(number)
 
     def terminate_gateway(self, number: int) -> None:
-        """Sends SIGTERM; the load balancer turns away after a while."""
+        """Send SIGTERM; the load balancer stops choosing the gateway after its reaction time."""
         self.gateways[number].process.send(signal.SIGTERM)
         self.kernel.after(LOAD_BALANCER_REACTION_S, self.clients.set_admitted, number, False)
 
     def start_gateway(self, number: int) -> None:
-        """Starts the process anew."""
+        """Start the process again, once the previous one has exited."""
         self._later(self._start(self.gateways[number]))
 
     async def _start(self, gateway: LiveGateway) -> None:
@@ -356,7 +365,7 @@
         self._later(self._watch(gateway))
 
     def pause_gateway(self, number: int, paused: bool) -> None:
-        """Sends SIGSTOP or SIGCONT; what it holds meanwhile is excused from its time."""
+        """Send SIGSTOP or SIGCONT; requests in flight at that moment are exempt from the deadline rule."""
         gateway = self.gateways[number]
         for held in gateway.pending.values():
             held.record.is_exempt = True
@@ -364,18 +373,18 @@
         gateway.process.send(signal.SIGSTOP if paused else signal.SIGCONT)
 
     def add_load_burst(self, start: float, end: float, factor: float, customers: int) -> None:
-        """Clients ask more for a while."""
+        """Raise the request rate of clients for a while."""
         self.clients.add_burst(start, end, factor, customers)
 
     def change_plans(self, plans: list[PlanKind]) -> None:
-        """Writes the new plans to the configuration files and sends SIGHUP."""
+        """Write the new plans to the configuration files and send SIGHUP."""
         self.clients.change_plans({plan.name: plan for plan in plans}, self.resize_bucket)
         for gateway in self.gateways:
             if gateway.up:
                 self._write(gateway)
                 gateway.process.send(signal.SIGHUP)
 
-    # What the clients see
+    # Requests and responses at the clients
 
     def _taken(self, held: PendingRequest) -> None:
         self.asks[held.record.id] = held
@@ -390,7 +399,7 @@
         late = self.kernel.lag() > LATE
         if not held.answered and not held.is_disconnected and gateway.up and not late and not gateway.paused:
             self.rules.check_deadline(self.kernel.now, held.record)
-        # An attempt may still be on its way to a server that is slow to read.
+        # An attempt may still be in transit to a server that is slow to read, so the request is forgotten later.
         self.kernel.after(held.record.kind.deadline_s, self._forget, held.record.id)
 
     def _forget(self, request: str) -> None:
@@ -403,7 +412,7 @@
         self.rules.check_answer(self.kernel.now - SLACK, held.record, what)
 
     def served(self, held: PendingRequest, value: bytes) -> None:
-        """A value has come: checks that an endpoint made it for this request."""
+        """Check that one of the endpoints of this request produced the value that arrived."""
         self._answered(held, "served")
         made = [value_of(held.record.id, sent.server) for sent in held.record.attempts]
         if value not in made:
@@ -412,25 +421,25 @@
             )
 
     def refused(self, held: PendingRequest) -> None:
-        """A rejection has come: checks that a retry does no harm."""
+        """Check that the request was rejected only where a retry is safe."""
         self.rules.check_rejection(self.kernel.now, held.record)
         self._answered(held, "refused")
 
     def failed(self, held: PendingRequest) -> None:
-        """A failure has come."""
+        """Check a failure that was reported to the client."""
         self._answered(held, "failed")
 
     def dropped(self, held: PendingRequest) -> None:
-        """A connection ended without an answer, which breaks a rule."""
+        """Report a connection that was closed without a response, which violates a rule."""
         self.rules.report_violation(
             "one answer", self.kernel.now, f"request {held.record.id}: its connection ended without an answer"
         )
 
     def odd(self, text: str) -> None:
-        """Something came that the protocol does not allow."""
+        """Report a violation of the protocol."""
         self.rules.report_violation("protocol", self.kernel.now, text)
 
-    # What the servers see
+    # Endpoint lists at the ingresses, and attempts at the servers
 
     def _told(self, number: int, entries: list[Endpoint], full: bool) -> None:
         gateway = self.gateways[number]
@@ -447,11 +456,11 @@
                 gateway.leaving.setdefault(name, now)
 
     def asked(self, request: str) -> PendingRequest | None:
-        """The request of this id that is waited for."""
+        """Return the request with this ID if its client still waits for it."""
         return self.asks.get(request)
 
     def arrived(self, held: PendingRequest, server: ServerModel, _request: str) -> bool:
-        """An attempt has reached a stand-in: checks the rules on attempts."""
+        """Check the rules on attempts for one that reached a fake server; report whether the server handles it."""
         now = self.kernel.now
         record = held.record
         gateway = cast(LiveGateway, held.gateway)
@@ -462,31 +471,31 @@
         if first:
             self.rules.charge_ceiling(now, record)
             self.clients.attempt_arrived(held)
-        knew = gateway.starts.get(server.id, 0.0) >= server.started_at
-        if self.rules.add_work(now, server.id, held.work, knew, server.capacity(), server.is_warming_up()):
+        informed = gateway.starts.get(server.id, 0.0) >= server.started_at
+        if self.rules.add_work(now, server.id, held.work, informed, server.capacity(), server.is_warming_up()):
             self.recorder.count(now, "servers that fell over")
             self.collapse_server(server)
             return False
         return True
 
     def ended(self, held: PendingRequest, place: int, outcome: Outcome) -> None:
-        """An attempt has ended at its stand-in."""
+        """Record the end of an attempt at its fake server."""
         self.rules.end_attempt(held.record, place, outcome)
         self.recorder.count(self.kernel.now, f"outcome.{outcome.value}")
 
     def log(self, event: str, request: str, server: str) -> None:
-        """Writes a line that `ingressctl report --follow` finds."""
+        """Write a log line that `ingressctl report --follow` finds."""
         self.lines.info(event, id=request, where=server, time=round(self.unix + self.kernel.now, 6))
 
 
 def play_live(experiment: Experiment, seed: int, folder: Path) -> dict[str, Any]:
-    """Plays it; SIGINT ends the day early, with what was measured as its result."""
+    """Run the experiment; SIGINT or SIGTERM ends it early, and the result holds what was measured until then."""
 
-    async def day() -> dict[str, Any]:
+    async def run() -> dict[str, Any]:
         play = LivePlay(experiment, seed, folder)
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGINT, signal.SIGTERM):
-            loop.add_signal_handler(number, play.ended_early.set)
-        return await play.play()
+        for signal_number in (signal.SIGINT, signal.SIGTERM):
+            loop.add_signal_handler(signal_number, play.ended_early.set)
+        return await play.run()
 
-    return uvloop.run(day())
+    return uvloop.run(run())
--- a/ingress/emulator/live/recovery.py
+++ b/ingress/emulator/live/recovery.py
@@ -1,7 +1,8 @@
-"""How fast an ingress serves after a crash, and the list service after a loss of power, by the size of what is kept.
+"""Recovery times by size of the stored state: of an ingress after a crash, and of the registry after a power loss.
 
-The state is made by the program's own code, in a folder that goes afterwards; the process that reads it is a real one.
-Seconds count from its start to the last byte of its first answer; CPU is what the system says that it has used by then.
+The state is written by the program's own code, into a temporary folder; the process that reads it is a real one.
+Seconds count from its start to the last byte of its first response; CPU is the time that the system accounts to it by
+then.
 """
 
 from __future__ import annotations
@@ -34,16 +35,28 @@
 from ingress.errors import IngressError
 from ingress.runtime.clock import unix_clock
 
-STARTS = 60.0  # s for a process to answer
+STARTS = 60.0
+POLL_INTERVAL_S = 0.002
+PROBE_CUSTOMER = 1 << 32  # above the numbers of the customers in a checkpoint
+SNAPSHOT_EVERY_S = 1e9  # no periodic snapshot during the measurement
 
 
 class TooSlowError(IngressError):
-    """A process did not answer, or recovered nothing."""
+    """A process did not answer in time, or recovered something other than the stored state."""
 
 
 @dataclass(frozen=True)
 class Start:
-    """One start.  `kept`: bytes on disk; `memory`: of the process at its first answer."""
+    """The measurement of one start of a process.
+
+    Attributes:
+        what: The process that was started.
+        size: The number of customers or list entries in the stored state.
+        seconds: The time to the first response.
+        cpu: The CPU time in seconds used by then.
+        kept: The size of the stored state on disk in bytes.
+        memory: The memory of the process at its first response in bytes.
+    """
 
     what: str
     size: int
@@ -54,10 +67,11 @@
 
 
 class State:
-    """A gateway with so many customers, each of which has spent one unit."""
+    """A checkpoint source: a gateway with so many customers, each of which has spent one unit."""
 
     def __init__(self, settings: Settings, servers: list[dict[str, Any]], customers: int) -> None:
-        self.clock, self.gateway = unix_clock(), gateway.Gateway(settings, 1)
+        self.clock = unix_clock()
+        self.gateway = gateway.Gateway(settings, 1)
         self.addresses = {row["id"]: row["addr"].split(":") for row in servers}
         self.gateway.handle(
             self.clock(), EndpointsChanged(EndpointListKind.RESTORED, tuple(Endpoint(name) for name in self.addresses))
@@ -66,15 +80,15 @@
             self.gateway.handle(self.clock(), QuotaUsage(f"{number:016x}", settings.plans[0].name, 1, 1.0, True))
 
     def customer_names(self) -> list[str]:
-        """All customers that have a state."""
+        """Return the names of all customers that have a state."""
         return list(self.gateway.customers)
 
     def customer_states(self, names: Iterable[str]) -> list[CustomerState]:
-        """The states of these customers."""
+        """Return the states of these customers."""
         return self.gateway.customer_states(self.clock(), names)
 
     def shared_state(self) -> SharedState:
-        """What a snapshot holds beside the customers."""
+        """Return the part of a snapshot in addition to the customers."""
         servers = self.gateway.cluster.endpoints.by_id.values()
         addresses = {name: (host, int(port)) for name, (host, port) in self.addresses.items()}
         return SharedState(
@@ -83,13 +97,13 @@
         )
 
     def persistence_changed(self, enabled: bool) -> None:
-        """Nothing depends on it here."""
+        """Ignore the change; nothing depends on it here."""
         pass
 
 
 async def keep(folder: Path, state: State) -> int:
-    """A checkpoint as a process that is killed right after its snapshot leaves it; bytes."""
-    writer = CheckpointWriter(CheckpointFiles(folder, "n0"), 1e9, state, state.clock)
+    """Write a checkpoint as left by a process killed right after its snapshot; return the snapshot size in bytes."""
+    writer = CheckpointWriter(CheckpointFiles(folder, "n0"), SNAPSHOT_EVERY_S, state, state.clock)
     writer.acquire()
     writer.begin_first_log(1, 0)
     await writer.snapshot()
@@ -99,31 +113,42 @@
 
 
 async def of_ingress(customers: int | None) -> Start:
-    """The start of an ingress after a crash with so many customers in its checkpoint; None: with no checkpoint."""
-    with tempfile.TemporaryDirectory() as kept:
-        more = {} if customers is None else {"checkpoint": {"folder": kept, "every_s": 3600.0}}
+    """Measure the start of an ingress after a crash.
+
+    Args:
+        customers: The number of customers in its checkpoint; None starts it without a checkpoint.
+
+    Raises:
+        TooSlowError: It does not answer in time, or its log does not show the customers as recovered.
+    """
+    with tempfile.TemporaryDirectory() as checkpoint_folder:
+        more = {} if customers is None else {"checkpoint": {"folder": checkpoint_folder, "every_s": 3600.0}}
         async with ingress(more=more) as one:
             settings = slow_settings(one)
             size = 0
             if customers is not None:
-                size = await keep(Path(kept), State(settings, one.servers, customers))
+                size = await keep(Path(checkpoint_folder), State(settings, one.servers, customers))
             began = time.monotonic()
             task = asyncio.create_task(one.start())
             tally = Tally()
             caller = Caller((one.host, CLIENT_PORT), tally)
             while not tally.answered and time.monotonic() - began < STARTS:
-                await caller.ask(1 << 32, "wide")
-                await asyncio.sleep(0.002)
+                await caller.ask(PROBE_CUSTOMER, "wide")
+                await asyncio.sleep(POLL_INTERVAL_S)
             seconds = time.monotonic() - began
             if not tally.answered:
-                raise TooSlowError(f"the ingress does not answer within {STARTS:g} s")
+                raise TooSlowError(
+                    f"the ingress with {customers or 0} customers in its checkpoint did not answer within {STARTS:g} s"
+                )
             [process] = one.spawned
             cpu, memory = process.used()
             await task
             caller.close()
             words = (one.folder / "p1.log").read_text(encoding="utf-8")
             if customers and f"{customers} customers" not in words:
-                raise TooSlowError(f"the ingress recovered something else: {words[-300:]}")
+                raise TooSlowError(
+                    f"the log of the ingress does not show {customers} recovered customers: {words[-300:]}"
+                )
             return Start(
                 "ingress" if customers is not None else "ingress, nothing kept",
                 customers or 0,
@@ -135,13 +160,20 @@
 
 
 def slow_settings(one: Ingress) -> Settings:
-    """Of the processes; their plans refill too fast for a spent unit to be seen, so the first is slowed."""
+    """Slow down the refill of the first plan and return the settings.
+
+    The plans normally refill too fast for a spent unit to be visible in a checkpoint.
+    """
     one.refill = 1e-3
     return one.settings()
 
 
 async def of_list(entries: int) -> Start:
-    """The start of the list service on a store with so many entries, to its first whole list."""
+    """Measure the start of the registry on a store with so many entries, up to its first complete list.
+
+    Raises:
+        TooSlowError: It exits or does not answer in time, or its list has another number of entries.
+    """
     with tempfile.TemporaryDirectory() as folder:
         store = Store(Path(folder))
         store.write(
@@ -184,13 +216,13 @@
                     break
                 if child.returncode is not None or time.monotonic() - began > STARTS:
                     raise TooSlowError(
-                        f"the list service does not answer (status {child.returncode}); it needs "
+                        f"the list service on port {port} did not answer (exit status {child.returncode}); it needs "
                         "requirements-registry.txt"
                     )
-                await asyncio.sleep(0.002)
+                await asyncio.sleep(POLL_INTERVAL_S)
             seconds = time.monotonic() - began
             if body.count(b'"s-') != entries:
-                raise TooSlowError(f"the list has {body.count(b's-')} entries of {entries}")
+                raise TooSlowError(f"the list has {body.count(b's-')} entries; expected {entries}")
             cpu, memory = _used(child.pid)
             return Start("list service", entries, seconds, cpu, size, memory)
         finally:
@@ -222,13 +254,13 @@
 
 
 def measure(sizes: list[int]) -> list[dict[str, Any]]:
-    """A start for each size, of both programs, and one of an ingress for which nothing was kept."""
+    """Measure a start of both programs for each size, and one of an ingress without a checkpoint."""
 
-    async def day() -> list[Start]:
+    async def run() -> list[Start]:
         return [
             await of_ingress(None),
             *[await of_ingress(size) for size in sizes],
             *[await of_list(size) for size in sizes],
         ]
 
-    return [asdict(start) for start in uvloop.run(day())]
+    return [asdict(measurement) for measurement in uvloop.run(run())]
--- a/ingress/emulator/live/servers.py
+++ b/ingress/emulator/live/servers.py
@@ -1,4 +1,4 @@
-"""Stand-ins for schedule servers: the model of simulated time behind real sockets that speak PROTOCOL."""
+"""Fake servers: the server model of the simulation behind real sockets that speak PROTOCOL."""
 
 from __future__ import annotations
 
@@ -17,38 +17,44 @@
 from ingress.emulator.servers import ServerModel
 
 NOTHING = object()
-REQUEST_WORDS = 4  # the command, the customer, the id and the fields
+REQUEST_WORDS = 4  # the command, the customer, the request ID and the fields
 REQUESTS = (b"API.READ", b"API.WRITE")
 ANSWERS = {Outcome.ERROR: b"-ERR failed\r\n", Outcome.REJECTED: b"-BUSY\r\n", Outcome.MALFORMED: b"$-1\r\n"}
-LOST = 1e9  # s: the deadline of what nobody asked for
+LOST = 1e9  # the deadline of a request that does not name one
 
 
 def value_of(request: str, server: str) -> bytes:
-    """What that server makes for that request; a client checks that it was made for it."""
+    """Return the value with which a server answers a request; it lets the client check who produced it for what."""
     return f"{request} by {server}".encode()
 
 
 class Ledger(Protocol):
-    """Who knows the requests that are under way, and checks the rules."""
+    """The owner of the pending requests, which checks the rules on attempts."""
 
     def asked(self, request: str) -> PendingRequest | None:
-        """The request of this id, if anybody waits for it."""
+        """Return the request with this ID, if a client waits for it."""
 
     def arrived(self, held: PendingRequest, server: ServerModel, request: str) -> bool:
-        """An attempt is here whole; whether the server still stands."""
+        """Account for an attempt that arrived completely; report whether the server survives it."""
 
     def ended(self, held: PendingRequest, place: int, outcome: Outcome) -> None:
-        """An attempt has ended."""
+        """Account for the end of an attempt."""
 
     def odd(self, text: str) -> None:
-        """Something came that the protocol does not allow."""
+        """Report a violation of the protocol."""
 
     def log(self, event: str, request: str, server: str) -> None:
-        """Writes a line about the request."""
+        """Write a log line about the request."""
 
 
 class LiveAttempt:
-    """One request that a server holds."""
+    """One attempt in flight at a fake server.
+
+    Attributes:
+        place: The index of the attempt among those of its request.
+        epoch: The incarnation of the server that received the attempt.
+        answer: The encoded response, once the model has decided the outcome.
+    """
 
     def __init__(self, talk: Talk, held: PendingRequest, request: str, expires: float) -> None:
         self.talk = talk
@@ -57,13 +63,13 @@
         self.expires_at = expires
         self.work = held.work
         self.is_abandoned = False
-        self.place = len(held.record.attempts) - 1  # among the attempts of its request
+        self.place = len(held.record.attempts) - 1
         self.epoch = talk.server.model.incarnation
         self.answer: bytes | None = None
         self.ended = False
 
     def complete(self, outcome: Outcome) -> None:
-        """The model has decided the outcome: the answer goes out in its turn."""
+        """Encode the response for the outcome that the model decided; it is sent in the order of the commands."""
         server = self.talk.server
         if self.epoch != server.model.incarnation or self.ended:
             return
@@ -74,22 +80,23 @@
         self.talk.flush()
 
     def close(self, outcome: Outcome) -> None:
-        """The attempt has ended for the rules, once."""
+        """Report the end of the attempt to the observer, once."""
         if not self.ended:
             self.ended = True
             self.talk.server.ledger.ended(self.held, self.place, outcome)
 
 
 class Talk(asyncio.Protocol):
-    """One connection of an ingress.  Answers go back in the order of the commands."""
+    """One connection from an ingress; responses are sent in the order of the commands."""
 
     def __init__(self, server: StandIn) -> None:
-        self.server, self.reader = server, hiredis.Reader(notEnoughData=NOTHING)
+        self.server = server
+        self.reader = hiredis.Reader(notEnoughData=NOTHING)
         self.slots: deque[LiveAttempt | bytes] = deque()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the connection, or refuses it as the model says; from asyncio."""
+        """Accept the connection, or reset it if the model does not accept it; called by asyncio."""
         self.transport = cast(asyncio.Transport, transport)
         model = self.server.model
         if model.is_reachable and not model.accepts():
@@ -100,21 +107,21 @@
         model.add_handshake()
 
     def data_received(self, data: bytes) -> None:
-        """Reads commands; from asyncio."""
+        """Parse and handle commands; called by asyncio."""
         if not self.server.model.is_reachable:
-            return  # nobody is there
+            return  # an unreachable server receives nothing
         try:
             self.reader.feed(data)
             while (words := self.reader.gets()) is not NOTHING:
                 self._command(words)
         except hiredis.HiredisError as error:
-            self.server.ledger.odd(f"{self.server.model.id}: not RESP: {error}")
+            self.server.ledger.odd(f"{self.server.model.id}: received data that is not RESP: {error}")
             self.end()
         self.flush()
 
     def _command(self, words: object) -> None:
-        if not isinstance(words, list) or not words or not all(isinstance(w, bytes) for w in words):
-            self.server.ledger.odd(f"{self.server.model.id}: no command: {words!r:.80}")
+        if not isinstance(words, list) or not words or not all(isinstance(word, bytes) for word in words):
+            self.server.ledger.odd(f"{self.server.model.id}: expected a command, received {words!r:.80}")
             self.slots.append(b"-SYNTAX\r\n")
         elif words[0] in REQUESTS and len(words) >= REQUEST_WORDS:
             self._request(words)
@@ -132,7 +139,7 @@
         name = words[2].decode("ascii", "replace")
         held = server.ledger.asked(name)
         if held is None:
-            server.ledger.odd(f"{server.model.id}: request {name} was never asked")
+            server.ledger.odd(f"{server.model.id}: received request {name}, which no client waits for")
             self.slots.append(b"-SYNTAX\r\n")
             return
         if server.network.resets_connection():
@@ -150,7 +157,7 @@
             server.model.receive(attempt)
 
     def flush(self) -> None:
-        """Writes the answers that are ready, in the order of the commands."""
+        """Write the responses that are ready, up to the first command without one."""
         if self.transport is None or not self.server.model.is_reachable:
             return
         ready = []
@@ -165,7 +172,7 @@
             self.transport.write(b"".join(ready))
 
     def connection_lost(self, _exc: Exception | None) -> None:
-        """Ends the attempts of the connection; from asyncio."""
+        """Cancel the attempts of the connection; called by asyncio."""
         self.transport = None
         if self in self.server.talks:
             self.server.talks.discard(self)
@@ -176,13 +183,13 @@
                 slot.close(Outcome.CANCELLED)
 
     def end(self) -> None:
-        """Resets the connection."""
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
 
 class StandIn:
-    """The listener of one server."""
+    """The listener of one fake server, and its connections."""
 
     def __init__(self, model: ServerModel, kernel: Clock, network: NetworkModel, ledger: Ledger) -> None:
         self.model = model
@@ -194,7 +201,7 @@
         self.address = ("", 0)
 
     async def open(self, tls: ssl.SSLContext | None = None) -> None:
-        """Listens on its address, with TLS if told."""
+        """Listen on its address, or on a free port at first; with TLS if a context is given."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(
             lambda: Talk(self), "127.0.0.1", self.address[1], reuse_address=True, ssl=tls
@@ -202,7 +209,7 @@
         self.address = self.listener.sockets[0].getsockname()
 
     def vanish(self) -> None:
-        """Connections stay open and silent, and new ones never come up."""
+        """Drop all incoming packets: open connections stay open and silent, and new ones are never established."""
         if self.listener is not None:
             vanish(self.listener.sockets[0].fileno())
         for talk in self.talks:
@@ -210,9 +217,9 @@
                 vanish(talk.transport.get_extra_info("socket").fileno())
 
     def reset(self) -> None:
-        """Resets all connections, also those of a machine that had vanished.
+        """Reset all connections, including those of a machine that was unreachable.
 
-        The listener receives packets again, and the model says whether it accepts.
+        The listener receives packets again; the model decides whether connections are accepted.
         """
         if self.listener is not None and self.listener.sockets:
             come_back(self.listener.sockets[0].fileno())
@@ -223,7 +230,7 @@
         self.talks.clear()
 
     def close(self) -> None:
-        """Stops listening and resets the connections."""
+        """Stop listening and reset the connections."""
         if self.listener is not None:
             self.listener.close()
         self.reset()
--- a/ingress/emulator/live/upgrades.py
+++ b/ingress/emulator/live/upgrades.py
@@ -1,7 +1,8 @@
-"""Processes of one ingress: how long they take to agree, what they tell each other, and what upgrades cost.
+"""Measurements of one ingress with several processes: time to agree, traffic between them, and the cost of upgrades.
 
-Real processes on loopback before a stand-in that answers at once.  Chains are stopped, killed and watched by their
-second addresses; then one ingress is upgraded again and again under load, and requests and spending are counted.
+Real processes on loopback forward to a fake server that answers at once.  Chains of processes are paused, killed and
+observed through their admin servers; then one ingress is upgraded repeatedly under load, and requests and spent units
+are counted.
 """
 
 from __future__ import annotations
@@ -32,34 +33,43 @@
 
 CLIENT_PORT = 6379
 CONTROL_PORT = 7001
-REQUEST_WORDS = 4  # the command, the customer, the id and the fields
-SETTLES = 30.0  # s in which a view has to settle
-LOOK = 0.01  # s between looks
-WATCH = 2.0  # s over which words are counted
-CEILING = (40.0, 20.0)  # units a second and burst of the customer that asks far more
-SLACK = 0.15  # s of the ceiling's rate that sockets widen its slack by, by PROTOCOL
+REQUEST_WORDS = 4  # the command, the customer, the request ID and the fields
+PAUSE_S = 1.5  # long enough for the others to count a paused process as silent
+SETTLES = 30.0
+LOOK = 0.01
+WATCH = 2.0  # the period over which messages between idle processes are counted
+CEILING_RATE_PER_S = 40.0  # of the customer that sends far more requests than its ceiling allows
+CEILING_BURST = 20.0
+SLACK = 0.15  # with real sockets, PROTOCOL widens the slack of the ceiling by its rate over this time
+
+
+BOUND_CUSTOMER = 7  # the customer that sends more requests than its ceiling allows
 
 
 class UnsettledError(IngressError):
-    """The processes did not come to one view."""
+    """The processes did not agree on their membership in time, or a step of the measurement failed."""
 
 
 class Echo(asyncio.Protocol):
-    """A server that answers each request at once with its id."""
+    """A fake server that answers each request at once with its ID.
+
+    Attributes:
+        served: The number of served requests by customer, over all connections.
+    """
 
-    served: dict[bytes, int]  # by customer, over all connections
+    served: dict[bytes, int]
 
     def __init__(self, served: dict[bytes, int]) -> None:
         self.reader = hiredis.Reader(notEnoughData=NOTHING)
         self.served = served
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begins the connection; from asyncio."""
+        """Keep the transport for writing; called by asyncio."""
         assert isinstance(transport, asyncio.WriteTransport) or hasattr(transport, "write")
         self.write: Callable[[bytes], None] = transport.write
 
     def data_received(self, data: bytes) -> None:
-        """Serves each command with its id, and counts it by customer; from asyncio."""
+        """Serve each request with its ID and count it by customer; called by asyncio."""
         self.reader.feed(data)
         while (words := self.reader.gets()) is not NOTHING:
             if isinstance(words, list) and len(words) >= REQUEST_WORDS:
@@ -71,28 +81,34 @@
 
 @dataclass
 class Ingress:
-    """The processes of one ingress, in order of their start."""
+    """The processes of one ingress, in order of their start.
+
+    Attributes:
+        more: Further keys of the configuration of each process.
+        trees: The source trees that the processes run, in turn; None is this package.
+        refill: The units per second of the plan without an effective ceiling.
+    """
 
     folder: Path
     host: str
     servers: list[dict[str, object]]
     served: dict[bytes, int]
     more: dict[str, Any]
-    trees: list[Path | None]  # the packages that are started, in turn
+    trees: list[Path | None]
     running: list[Process] = field(default_factory=list)
     spawned: list[Process] = field(default_factory=list)
-    refill: float = 1e6  # units a second of the plan that is not bound
+    refill: float = 1e6
 
     def settings(self) -> Settings:
-        """The settings: one plan without a ceiling that binds, and one that is bound."""
+        """Return the settings: one plan without an effective ceiling, and one whose ceiling limits the load."""
         plans = [
             {"name": "wide", "rate": self.refill, "burst": 1e6},
             {
                 "name": "bound",
                 "rate": 1e6,
                 "burst": 1e6,
-                "ceiling_rate": CEILING[0],
-                "ceiling_burst": CEILING[1],
+                "ceiling_rate": CEILING_RATE_PER_S,
+                "ceiling_burst": CEILING_BURST,
                 "ceiling_slack": 1.0,
             },
         ]
@@ -108,7 +124,7 @@
         return gateway_settings(spec, 0, list(spec.plans))
 
     async def start(self) -> Process:
-        """Starts one more process of the ingress, which takes over from the last."""
+        """Start one more process of the ingress, which takes over from the last."""
         number = len(self.spawned) + 1
         process = Process(
             "n0",
@@ -132,7 +148,7 @@
         return process
 
     async def ends(self, process: Process, number: signal.Signals) -> int | None:
-        """Sends a signal to a process and waits for its end; the exit status, None if it still runs."""
+        """Send a signal to a process and return its exit status, or None if it still runs after the timeout."""
         self.running.remove(process)
         process.send(number)
         return await process.ended(SETTLES)
@@ -142,7 +158,7 @@
 async def ingress(
     servers: int = 4, more: dict[str, Any] | None = None, trees: list[Path | None] | None = None
 ) -> AsyncIterator[Ingress]:
-    """An address of its own on the loopback net, and a folder that goes when it is over."""
+    """Prepare an ingress with a loopback address of its own and a temporary folder; kill its processes at the end."""
     served: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
     host = loopback(0)
@@ -174,16 +190,24 @@
 
 @dataclass(frozen=True)
 class View:
-    """What a process shows of its membership."""
+    """What a process reports about its process group.
+
+    Attributes:
+        rows: The name of each member, and whether it leads, accepts and is silent.
+        total: The open connections that the group may hold: from clients, and to servers.
+        own: The open connections that this process may hold, likewise.
+        messages: The number of messages that this process sent to the others.
+        bytes: The number of bytes of these messages.
+    """
 
-    rows: tuple[tuple[str, bool, bool, bool], ...]  # name, leads, accepts, silent
+    rows: tuple[tuple[str, bool, bool, bool], ...]
     total: tuple[int, int]
-    own: tuple[int, int]  # what it may hold
+    own: tuple[int, int]
     messages: int
     bytes: int
 
     def settled(self, count: int) -> bool:
-        """Whether so many processes see each other, one leads and one accepts."""
+        """Report whether so many processes see each other, exactly one leads and exactly one accepts."""
         return (
             len(self.rows) == count
             and sum(leads for _, leads, _, _ in self.rows) == 1
@@ -195,12 +219,12 @@
 def _pair(text: str, pattern: str) -> tuple[int, int]:
     found = re.search(pattern, text)
     if found is None:
-        raise UnsettledError(f"show-members says {text!r:.200}")
+        raise UnsettledError(f"show-members: no match for {pattern!r} in {text!r:.200}")
     return int(found[1]), int(found[2])
 
 
 async def look(process: Process) -> View:
-    """What a process says of the group at its second address."""
+    """Return what a process reports about its group at its admin server."""
     text = await call(process.control, "show-members")
     lines = [line for line in text.split("\n") if line.startswith("member: ")]
     [own] = [line for line in lines if "(this one)" in line]
@@ -208,30 +232,37 @@
         tuple((line.split()[1], " leads" in line, " accepts" in line, " silent" in line) for line in lines),
         _pair(text, r"total: (\d+) from clients, (\d+) to"),
         _pair(own, r"of (-?\d+)\+(-?\d+)"),
-        # A build from before they were counted shows none.
+        # Builds that do not count messages report none.
         *(_pair(text, r"links: \d+, (\d+) messages told, (\d+) bytes") if "links: " in text else (0, 0)),
     )
 
 
 async def settle(one: Ingress) -> float:
-    """Waits until all have one view; s since the call.  Unsettled too where they hold more than the total."""
+    """Wait until all processes agree and return the seconds since the call.
+
+    Raises:
+        UnsettledError: They do not agree in time, or together they may hold more than the total.
+    """
     began = time.monotonic()
     while time.monotonic() - began < SETTLES:
         views = [await look(process) for process in one.running]
         for side in (0, 1):
             if sum(view.own[side] for view in views) > views[0].total[side]:
-                # Shown one after the other: a gift may have been counted at both.  It is over only if it stays so.
+                # The processes are asked one after the other, so a grant may have been counted at both ends.  Only an
+                # excess that a second reading in reverse order confirms counts.
                 again = [await look(process) for process in reversed(one.running)]
                 if sum(view.own[side] for view in again) > views[0].total[side]:
-                    raise UnsettledError("the processes may hold more than the total")
+                    raise UnsettledError(
+                        f"the processes may hold more connections than the total of {views[0].total[side]}"
+                    )
         if len({view.rows for view in views}) == 1 and views[0].settled(len(one.running)):
             return time.monotonic() - began
         await asyncio.sleep(LOOK)
-    raise UnsettledError(f"no one view within {SETTLES:g} s")
+    raise UnsettledError(f"the {len(one.running)} processes did not agree on their membership within {SETTLES:g} s")
 
 
 async def chain(count: int) -> dict[str, float]:
-    """Times to settle (s) after each kind of event in a chain of so many, and what is told in rest."""
+    """Measure the seconds to settle after each kind of event in a chain, and the traffic between idle processes."""
     found: dict[str, float] = {}
     async with ingress() as one:
         for _ in range(count):
@@ -242,11 +273,13 @@
         await asyncio.sleep(WATCH)
         after = [await look(process) for process in one.running]
         span = time.monotonic() - began
-        found["messages_s"] = sum(a.messages - b.messages for a, b in zip(after, before, strict=True)) / span
-        found["bytes_s"] = sum(a.bytes - b.bytes for a, b in zip(after, before, strict=True)) / span
+        found["messages_s"] = (
+            sum(later.messages - earlier.messages for later, earlier in zip(after, before, strict=True)) / span
+        )
+        found["bytes_s"] = sum(later.bytes - earlier.bytes for later, earlier in zip(after, before, strict=True)) / span
         stopped = one.running[count // 2]
         stopped.send(signal.SIGSTOP)
-        await asyncio.sleep(1.5)  # it counts as silent
+        await asyncio.sleep(PAUSE_S)
         stopped.send(signal.SIGCONT)
         found["paused"] = await settle(one)
         for name, place in (("eldest_killed", 0), ("youngest_killed", -1), ("middle_killed", count // 2 - 1)):
@@ -258,23 +291,35 @@
 
 @dataclass
 class Tally:
-    """What clients have seen."""
+    """The number of responses to clients by kind.
+
+    Attributes:
+        answered: The requests that were served.
+        refused: The requests that were rejected with BUSY.
+        lost: The requests without a valid response.
+        again: The requests that were sent once more because the connection was closed between two requests.
+    """
 
     answered: int = 0
     refused: int = 0
     lost: int = 0
-    again: int = 0  # sent once more: the connection ended between two requests
+    again: int = 0
 
 
 class Caller:
-    """A client with one connection, one request at a time; what crosses a close is sent once more."""
+    """A client with one connection and one request at a time.
+
+    A request that crosses the close of its connection is sent once more on a new one.
+    """
 
     def __init__(self, address: tuple[str, int], tally: Tally) -> None:
-        self.address, self.tally, self.numbers = address, tally, itertools.count()
+        self.address = address
+        self.tally = tally
+        self.numbers = itertools.count()
         self.talk: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
     async def ask(self, customer: int, plan: str) -> None:
-        """Sends one request and reads the answer; one more time where the connection was closed between."""
+        """Send one request and count its response; send it once more if a reused connection was closed."""
         number = b"%016x" % next(self.numbers)
         names = f"c=read,t={plan},d=2000,units=1,spread=1,first=0".encode()
         words = [b"API.READ", b"%016x" % customer, number, names]
@@ -311,17 +356,17 @@
         return answer
 
     def close(self) -> None:
-        """Closes its connection."""
+        """Close the connection."""
         if self.talk is not None:
             self.talk[1].close()
             self.talk = None
 
 
 async def upgrades(count: int, clients: int, told: Callable[[int], None], trees: list[Path | None]) -> dict[str, float]:
-    """Upgrades one after the other under load; `told` is called with the number of each.
+    """Run upgrades one after the other under load; `told` is called with the number of each.
 
-    In the result `over` is the units beyond what the ceiling of one customer allows from the start, with its slack, and
-    `settle_max` the s after the end of the old process until the group is settled.
+    In the result, `over` is the number of units beyond what the ceiling of one customer and its slack allow since the
+    start, and `settle_max` the longest time in seconds from the exit of an old process until the group has settled.
     """
     tally = Tally()
     over = asyncio.Event()
@@ -336,7 +381,9 @@
                 if over.is_set():
                     break
                 greedy = number == 0
-                await caller.ask(7 if greedy else number * 100_000 + turn % 1000, "bound" if greedy else "wide")
+                await caller.ask(
+                    BOUND_CUSTOMER if greedy else number * 100_000 + turn % 1000, "bound" if greedy else "wide"
+                )
                 await asyncio.sleep(0.002 if greedy else 0.005)
             caller.close()
 
@@ -346,14 +393,14 @@
             fresh = await one.start()
             status = await one.ends(old, signal.SIGTERM)
             if status != 0:
-                raise UnsettledError(f"upgrade {number}: the old process ended with status {status}")
+                raise UnsettledError(f"upgrade {number}: the old process exited with status {status} after SIGTERM")
             slowest = max(slowest, await settle(one))
             old = fresh
             told(number + 1)
         over.set()
         await asyncio.gather(*tasks)
         span = time.monotonic() - began
-        allowed = CEILING[0] * (span + SLACK) + CEILING[1] + 1.0
+        allowed = CEILING_RATE_PER_S * (span + SLACK) + CEILING_BURST + 1.0
         return {
             "upgrades": count,
             "seconds": round(span, 3),
@@ -361,8 +408,8 @@
             "refused": tally.refused,
             "sent_again": tally.again,
             "lost": tally.lost,
-            "bound_units": one.served.get(b"%016x" % 7, 0),
-            "over": max(0.0, one.served.get(b"%016x" % 7, 0) - allowed),
+            "bound_units": one.served.get(b"%016x" % BOUND_CUSTOMER, 0),
+            "over": max(0.0, one.served.get(b"%016x" % BOUND_CUSTOMER, 0) - allowed),
             "settle_max": round(slowest, 3),
         }
 
@@ -370,17 +417,20 @@
 def measure(
     chains: list[int], count: int, clients: int, told: Callable[[str], None], before: Path | None = None
 ) -> dict[str, Any]:
-    """Measures chains of processes and upgrades under load; the result as plain data.
+    """Measure chains of processes and upgrades under load and return the result as plain data.
 
     Args:
-        chains: the number of processes of each chain.
-        count: upgrades under load.
-        clients: connections of the load.
-        told: is called with a line for each step.
-        before: a source tree of another build, from which every other upgrade comes and to which every other goes.
+        chains: The number of processes of each chain.
+        count: The number of upgrades under load.
+        clients: The number of connections of the load.
+        told: A function that is called with a line for each step.
+        before: A source tree of another build; every other upgrade goes from it to this build, the rest go back.
+
+    Raises:
+        UnsettledError: The processes did not agree, an upgrade failed or SIGINT interrupted the measurement.
     """
 
-    async def day() -> dict[str, Any]:
+    async def run() -> dict[str, Any]:
         found: dict[str, Any] = {"chains": {}}
         for size in chains:
             told(f"a chain of {size}")
@@ -395,6 +445,6 @@
         return found
 
     with contextlib.suppress(KeyboardInterrupt):
-        result: dict[str, Any] = uvloop.run(day())
+        result: dict[str, Any] = uvloop.run(run())
         return result
-    raise UnsettledError("interrupted")
+    raise UnsettledError("the measurement was interrupted")
--- a/tests/test_emulator_live.py
+++ b/tests/test_emulator_live.py
@@ -274,7 +274,7 @@
     found: dict[str, Any] = {}
 
     async def body() -> None:
-        found.update(await LivePlay(spec, seed, folder).play())
+        found.update(await LivePlay(spec, seed, folder).run())
 
     run_async(body())
     return found
@@ -311,7 +311,7 @@
 def test_a_process_that_dies_by_itself_is_a_crash(tmp_path: Path) -> None:
     async def body() -> None:
         day = LivePlay(experiment(seconds=1.0), 1, tmp_path)
-        ended = asyncio.create_task(day.play())
+        ended = asyncio.create_task(day.run())
         await wait_until(lambda: day.gateways and day.gateways[0].up)
         child = day.gateways[0].process.child
         assert child is not None
