--- a/ingress/emulator/live/agent.py
+++ b/ingress/emulator/live/agent.py
@@ -15,11 +15,11 @@
 from ingress.decisions.events import EndpointListKind, EndpointsChanged
 from ingress.runtime.sockets import Address
 
-PATH = "/api/targets"
-MOST_WAIT = 60.0
+TARGETS_PATH = "/api/targets"
+MAX_WAIT_S = 60.0
 
 
-def row(entry: Endpoint, address: Address) -> dict[str, object]:
+def format_entry(entry: Endpoint, address: Address) -> dict[str, object]:
     """Return an entry in the form of the endpoint registry; `started_at` is Unix time here."""
     return {
         "id": entry.id,
@@ -33,47 +33,47 @@
     }
 
 
-class Agent:
+class FakeDiscoveryAgent:
     """A server of endpoint lists and of watches for their changes.
 
     Attributes:
         address_of: Returns the address of an endpoint by its ID.
-        unix: Returns an entry with its start in Unix time.
-        written: Called with the entries of each response and whether they are the complete list.
-        since: The version from which on all changes are kept.
+        with_unix_start: Returns an entry with its start in Unix time.
+        on_entries_sent: Called with the entries of each response and whether they are the complete list.
+        oldest_kept_version: The version from which on all changes are kept.
         silent: Whether requests stay without a response, as while discovery is down.
     """
 
     def __init__(
         self,
         address_of: Callable[[str], Address],
-        unix: Callable[[Endpoint], Endpoint],
-        written: Callable[[list[Endpoint], bool], None],
+        with_unix_start: Callable[[Endpoint], Endpoint],
+        on_entries_sent: Callable[[list[Endpoint], bool], None],
     ) -> None:
         self.address_of = address_of
-        self.unix = unix
-        self.written = written
+        self.with_unix_start = with_unix_start
+        self.on_entries_sent = on_entries_sent
         self.version = 1
-        self.since = 1
+        self.oldest_kept_version = 1
         self.silent = False
         self.entries: dict[str, Endpoint] = {}
         self.changes: list[tuple[int, Endpoint]] = []
-        self.waiting: set[Watch] = set()
+        self.watches: set[WatchConnection] = set()
         self.listener: asyncio.Server | None = None
         self.address: Address = ("", 0)
 
     async def open(self) -> None:
         """Listen on a free port."""
-        self.listener = await asyncio.get_running_loop().create_server(lambda: Watch(self), "127.0.0.1", 0)
+        self.listener = await asyncio.get_running_loop().create_server(lambda: WatchConnection(self), "127.0.0.1", 0)
         self.address = self.listener.sockets[0].getsockname()
 
-    def learn(self, event: EndpointsChanged) -> None:
+    def apply(self, event: EndpointsChanged) -> None:
         """Apply a change that discovery published, and answer the watches."""
         self.version = max(self.version + 1, event.version)
         if event.kind is EndpointListKind.REPLACE:
             self.entries = {entry.id: entry for entry in event.endpoints}
             self.changes.clear()
-            self.since = self.version
+            self.oldest_kept_version = self.version
         else:
             for entry in event.endpoints:
                 self.changes.append((self.version, entry))
@@ -81,58 +81,63 @@
                     self.entries.pop(entry.id, None)
                 else:
                     self.entries[entry.id] = entry
-        self.wake()
+        self.answer_watches()
 
-    def wake(self) -> None:
+    def answer_watches(self) -> None:
         """Answer the watches whose version is outdated."""
-        for watch in list(self.waiting):
-            watch.look()
+        for watch in list(self.watches):
+            watch.answer_if_changed()
 
-    def known(self) -> dict[str, object]:
+    def endpoint_list(self) -> dict[str, object]:
         """Return the complete list, as in the configuration of an ingress."""
         return {
             "version": self.version,
             "full": True,
-            "servers": [row(self.unix(entry), self.address_of(entry.id)) for entry in self.entries.values()],
+            "servers": [
+                format_entry(self.with_unix_start(entry), self.address_of(entry.id)) for entry in self.entries.values()
+            ],
         }
 
     def answer(self, after: int | None) -> dict[str, object]:
         """Return the changes since version `after`, or the complete list if they are not known."""
-        if after is None or not self.since <= after <= self.version:
-            self.written(list(self.entries.values()), True)
-            return self.known()
-        news: dict[str, Endpoint] = {}
+        if after is None or not self.oldest_kept_version <= after <= self.version:
+            self.on_entries_sent(list(self.entries.values()), True)
+            return self.endpoint_list()
+        latest_changes: dict[str, Endpoint] = {}
         for version, entry in self.changes:
             if version > after:
-                news[entry.id] = entry
-        self.written(list(news.values()), False)
+                latest_changes[entry.id] = entry
+        self.on_entries_sent(list(latest_changes.values()), False)
         return {
             "version": self.version,
             "full": False,
-            "servers": [row(self.unix(entry), self.address_of(entry.id)) for entry in news.values()],
+            "servers": [
+                format_entry(self.with_unix_start(entry), self.address_of(entry.id))
+                for entry in latest_changes.values()
+            ],
         }
 
     def close(self) -> None:
         """Stop listening and reset the connections of the watches."""
         if self.listener is not None:
             self.listener.close()
-        for watch in list(self.waiting):
-            watch.end()
+        for watch in list(self.watches):
+            watch.reset()
 
 
-class Watch(asyncio.Protocol):
+class WatchConnection(asyncio.Protocol):
     """One HTTP connection to the agent, with one request at a time.
 
     Attributes:
-        asked: The version that the pending request names, and the timer that ends its wait.
+        pending_query: The version that the pending request names, and the timer that ends its wait.
     """
 
-    def __init__(self, agent: Agent) -> None:
+    def __init__(self, agent: FakeDiscoveryAgent) -> None:
         self.agent = agent
         self.url = b""
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
-        self.asked: tuple[int | None, asyncio.TimerHandle | None] | None = None
+        self.pending_query: tuple[int | None, asyncio.TimerHandle | None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport; called by asyncio."""
@@ -143,8 +148,8 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self._say(400, {"error": "not HTTP"})
-            self.end()
+            self._respond(400, {"error": "not HTTP"})
+            self.reset()
 
     def on_message_begin(self) -> None:
         """Begin a request; called by the parser."""
@@ -156,38 +161,38 @@
 
     def on_message_complete(self) -> None:
         """Answer the request, or wait for a change; called by the parser."""
-        parts = urlsplit(self.url.decode("ascii", "replace"))
-        query = {key: found[-1] for key, found in parse_qs(parts.query).items()}
+        url = urlsplit(self.url.decode("ascii", "replace"))
+        query = {key: found[-1] for key, found in parse_qs(url.query).items()}
         numbers = {key: text for key, text in query.items() if text.isdecimal()}
-        if parts.path != PATH or len(numbers) != len(query):
-            self._say(404, {"error": "no such call"})
+        if url.path != TARGETS_PATH or len(numbers) != len(query):
+            self._respond(404, {"error": "no such call"})
             return
         after = int(numbers["after"]) if "after" in numbers else None
-        wait = min(MOST_WAIT, int(numbers.get("wait_ms", 0)) / 1000)
-        timer = asyncio.get_running_loop().call_later(wait, self._answer) if wait else None
-        self.asked = after, timer
-        self.agent.waiting.add(self)
-        if not wait:
-            self._answer()
+        wait_s = min(MAX_WAIT_S, int(numbers.get("wait_ms", 0)) / 1000)
+        timer = asyncio.get_running_loop().call_later(wait_s, self._answer_pending) if wait_s else None
+        self.pending_query = after, timer
+        self.agent.watches.add(self)
+        if not wait_s:
+            self._answer_pending()
         else:
-            self.look()
+            self.answer_if_changed()
 
-    def look(self) -> None:
+    def answer_if_changed(self) -> None:
         """Answer the pending request if the list has changed since the version that it names."""
-        if self.asked is not None and self.asked[0] != self.agent.version:
-            self._answer()
+        if self.pending_query is not None and self.pending_query[0] != self.agent.version:
+            self._answer_pending()
 
-    def _answer(self) -> None:
-        if self.asked is None or self.agent.silent:
+    def _answer_pending(self) -> None:
+        if self.pending_query is None or self.agent.silent:
             return  # a request that still waits is answered once discovery is back
-        after, timer = self.asked
+        after, timer = self.pending_query
         if timer is not None:
             timer.cancel()
-        self.asked = None
-        self.agent.waiting.discard(self)
-        self._say(200, self.agent.answer(after))
+        self.pending_query = None
+        self.agent.watches.discard(self)
+        self._respond(200, self.agent.answer(after))
 
-    def _say(self, status: int, body: dict[str, object]) -> None:
+    def _respond(self, status: int, body: dict[str, object]) -> None:
         if self.transport is not None and not self.transport.is_closing():
             text = json.dumps(body).encode()
             reason = b"OK" if status == HTTPStatus.OK else b"Error"
@@ -199,12 +204,12 @@
     def connection_lost(self, _exc: Exception | None) -> None:
         """Forget the pending request and cancel its timer; called by asyncio."""
         self.transport = None
-        self.agent.waiting.discard(self)
-        if self.asked is not None and self.asked[1] is not None:
-            self.asked[1].cancel()
-        self.asked = None
+        self.agent.watches.discard(self)
+        if self.pending_query is not None and self.pending_query[1] is not None:
+            self.pending_query[1].cancel()
+        self.pending_query = None
 
-    def end(self) -> None:
+    def reset(self) -> None:
         """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
--- a/ingress/emulator/live/authority.py
+++ b/ingress/emulator/live/authority.py
@@ -65,7 +65,7 @@
         key = ec.generate_private_key(ec.SECP256R1())
         now = datetime.now(UTC)
         subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-        signed = (
+        certificate = (
             x509.CertificateBuilder()
             .subject_name(subject)
             .issuer_name(self.name)
@@ -81,7 +81,7 @@
             .sign(self.key, hashes.SHA256())
         )
         pair = Pair(self.folder / f"{name}.pem", self.folder / f"{name}.key")
-        pair.certificate.write_bytes(signed.public_bytes(serialization.Encoding.PEM))
+        pair.certificate.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
         encryption = serialization.BestAvailableEncryption(password) if password else serialization.NoEncryption()
         pair.key.write_bytes(
             key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, encryption)
--- a/ingress/emulator/live/counter.py
+++ b/ingress/emulator/live/counter.py
@@ -6,29 +6,29 @@
 import math
 from typing import cast
 
-MOST_NAME = 64
-MOST_AMOUNT = 1e9  # of the absolute value
-MOST_LIFE = 60.0
-LONGEST_LINE = 256
+MAX_NAME_BYTES = 64
+MAX_AMOUNT = 1e9  # of the absolute value
+MAX_TTL_S = 60.0
+MAX_LINE_BYTES = 256
 
 
-class Counter:
+class FakeCounter:
     """A counter whose names expire after the time given by the first call that creates them.
 
     Attributes:
         calls: The number of valid `add` calls.
-        numbers: The sum and the time of expiry of each name.
+        sums: The sum and the time of expiry of each name.
     """
 
     def __init__(self) -> None:
         self.calls = 0
-        self.numbers: dict[str, tuple[float, float]] = {}
+        self.sums: dict[str, tuple[float, float]] = {}
         self.listener: asyncio.Server | None = None
         self.address: tuple[str, int] = ("", 0)
 
     async def open(self) -> None:
         """Listen on a free port."""
-        self.listener = await asyncio.get_running_loop().create_server(lambda: Line(self), "127.0.0.1", 0)
+        self.listener = await asyncio.get_running_loop().create_server(lambda: CounterConnection(self), "127.0.0.1", 0)
         self.address = self.listener.sockets[0].getsockname()
 
     def answer(self, line: str, now: float) -> str:
@@ -36,23 +36,26 @@
         match line.split(" "):
             case ["ping"]:
                 return "pong"
-            case ["add", name, amount, life]:
+            case ["add", name, amount, ttl]:
                 try:
-                    add = float(amount)
-                    ms = int(life)
+                    increment = float(amount)
+                    ttl_ms = int(ttl)
                 except ValueError:
                     return "error"
                 if not (
-                    0 < len(name.encode()) <= MOST_NAME and math.isfinite(add) and abs(add) <= MOST_AMOUNT and ms >= 1
+                    0 < len(name.encode()) <= MAX_NAME_BYTES
+                    and math.isfinite(increment)
+                    and abs(increment) <= MAX_AMOUNT
+                    and ttl_ms >= 1
                 ):
                     return "error"
                 self.calls += 1
-                total, until = self.numbers.get(name, (0.0, 0.0))
-                if now >= until:
+                total, expires_at = self.sums.get(name, (0.0, 0.0))
+                if now >= expires_at:
                     total = 0.0
-                    until = now + min(MOST_LIFE, ms / 1000)
-                self.numbers[name] = total + add, until
-                return f"ok {total + add:.7g}"
+                    expires_at = now + min(MAX_TTL_S, ttl_ms / 1000)
+                self.sums[name] = total + increment, expires_at
+                return f"ok {total + increment:.7g}"
         return "error"
 
     def close(self) -> None:
@@ -61,12 +64,12 @@
             self.listener.close()
 
 
-class Line(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection to the counter."""
 
-    def __init__(self, counter: Counter) -> None:
+    def __init__(self, counter: FakeCounter) -> None:
         self.counter = counter
-        self.left = b""
+        self.remainder = b""
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -76,9 +79,9 @@
     def data_received(self, data: bytes) -> None:
         """Answer each complete line; close the connection if the rest is too long for a line; called by asyncio."""
         assert self.transport is not None
-        *lines, self.left = (self.left + data).split(b"\r\n")
+        *lines, self.remainder = (self.remainder + data).split(b"\r\n")
         now = asyncio.get_running_loop().time()
         for line in lines:
             self.transport.write(self.counter.answer(line.decode("ascii", "replace"), now).encode() + b"\r\n")
-        if len(self.left) > LONGEST_LINE:
+        if len(self.remainder) > MAX_LINE_BYTES:
             self.transport.close()
--- a/ingress/emulator/live/load.py
+++ b/ingress/emulator/live/load.py
@@ -17,7 +17,7 @@
 from ingress.emulator.experiment import Experiment, ExperimentError, build_experiment
 from ingress.emulator.gateways import PendingRequest
 from ingress.emulator.kernel import random_streams
-from ingress.emulator.live.clients import Caller, Checks
+from ingress.emulator.live.clients import ClientConnections, ResponseObserver
 from ingress.emulator.live.kernel import RealKernel
 from ingress.emulator.measure import Recorder
 from ingress.emulator.network import NetworkModel
@@ -36,7 +36,7 @@
         self.faults = faults
 
 
-def experiment_of(settings: Settings, rate: float, seconds: float, retries: int) -> Experiment:
+def build_load_experiment(settings: Settings, rate: float, seconds: float, retries: int) -> Experiment:
     """Build an experiment whose customers have the plans of the settings.
 
     Each customer stays well within its quota; together they send `rate` first attempts per second.
@@ -77,50 +77,50 @@
     )
 
 
-class Load(Checks):
+class LoadGenerator(ResponseObserver):
     """Clients only; the servers, the endpoint list and the gateway exist outside this process."""
 
     def __init__(self, experiment: Experiment, seed: int, address: tuple[str, int]) -> None:
         self.experiment = experiment
         self.seed = seed
         self.kernel = RealKernel()
-        draws = random_streams(seed, ("arrivals", "front", "network"))
+        streams = random_streams(seed, ("arrivals", "front", "network"))
         self.recorder = Recorder()
         self.rules = RuleChecker(experiment, mean_work(experiment))
-        self.caller = Caller(self.kernel, 0, address, self)
+        self.connections = ClientConnections(self.kernel, 0, address, self)
         self.clients = ClientPopulation(
             self.kernel,
             experiment,
-            NetworkModel(experiment.network, draws["network"]),
+            NetworkModel(experiment.network, streams["network"]),
             self.recorder,
-            [self.caller],
-            draws["arrivals"],
-            draws["front"],
+            [self.connections],
+            streams["arrivals"],
+            streams["front"],
         )
-        self.caller.load_balancer = self.clients
-        self.caller.up = True
+        self.connections.load_balancer = self.clients
+        self.connections.up = True
         self.ended_early = asyncio.Event()
 
     async def run(self) -> dict[str, Any]:
         """Send the load, wait for the last responses and return the result as plain data."""
-        began = time.process_time()
+        cpu_start_s = time.process_time()
         self.clients.start()
-        last = self.experiment.seconds + max(c.deadline_s for c in self.experiment.classes)
+        duration_s = self.experiment.seconds + max(c.deadline_s for c in self.experiment.classes)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(last):
+            async with asyncio.timeout(duration_s):
                 await self.ended_early.wait()
         self.kernel.stop()
-        self.caller.close()
-        result = build_result(self.kernel, self.seed, self.recorder, self.rules, time.process_time() - began)
+        self.connections.close()
+        result = build_result(self.kernel, self.seed, self.recorder, self.rules, time.process_time() - cpu_start_s)
         result["exact"]["whole"] = not self.ended_early.is_set()
-        result["late_ms"] = self.kernel.late.percentiles()
+        result["late_ms"] = self.kernel.delays.percentiles()
         return result
 
-    def dropped(self, _held: PendingRequest) -> None:
+    def dropped(self, _pending_request: PendingRequest) -> None:
         """Count a connection that was closed without a response."""
         self.recorder.count(self.kernel.now, "connections that ended without an answer")
 
-    def odd(self, text: str) -> None:
+    def protocol_violation(self, text: str) -> None:
         """Count a violation of the protocol."""
         self.rules.report_violation("protocol", self.kernel.now, text)
 
@@ -133,7 +133,7 @@
     """
     try:
         config = load_config(str(path))
-        experiment = experiment_of(config.settings, rate, seconds, retries)
+        experiment = build_load_experiment(config.settings, rate, seconds, retries)
     except (ConfigError, ExperimentError) as error:
         raise LoadTargetError(error.faults) from error
 
@@ -146,10 +146,10 @@
                 [f"can't connect to the ingress at {config.listen[0]}:{config.listen[1]}: {error}"]
             ) from None
         writer.close()
-        load = Load(experiment, seed, config.listen)
+        generator = LoadGenerator(experiment, seed, config.listen)
         for signal_number in (signal.SIGINT, signal.SIGTERM):
-            asyncio.get_running_loop().add_signal_handler(signal_number, load.ended_early.set)
-        return await load.run()
+            asyncio.get_running_loop().add_signal_handler(signal_number, generator.ended_early.set)
+        return await generator.run()
 
     result: dict[str, Any] = uvloop.run(run())
     return result
--- a/ingress/emulator/live/loopback.py
+++ b/ingress/emulator/live/loopback.py
@@ -1,13 +1,17 @@
-"""Loopback addresses for the processes of this run: stable across restarts and distinct from those of other runs."""
+"""Loopback addresses for the processes of this run.
+
+They are stable across restarts of a process, and distinct from those of other runs on the machine unless the process
+IDs of both emulators are equal modulo the number of blocks.
+"""
 
 from __future__ import annotations
 
 import ipaddress
 import os
 
-MOST = 1024
-FIRST = ipaddress.IPv4Address("127.64.0.0")
-PLAYS = 8192  # one block of addresses per run, up to 127.191.255.255
+ADDRESSES_PER_RUN = 1024
+FIRST_ADDRESS = ipaddress.IPv4Address("127.64.0.0")
+BLOCK_COUNT = 8192  # one block of addresses per run, up to 127.191.255.255
 
 
 def loopback(number: int) -> str:
@@ -16,6 +20,6 @@
     Raises:
         ValueError: The number is negative or not below the number of addresses of a run.
     """
-    if not 0 <= number < MOST:
-        raise ValueError(f"process number {number} has no address; expected 0 to {MOST - 1}")
-    return str(FIRST + os.getpid() % PLAYS * MOST + number)
+    if not 0 <= number < ADDRESSES_PER_RUN:
+        raise ValueError(f"process number {number} has no address; expected 0 to {ADDRESSES_PER_RUN - 1}")
+    return str(FIRST_ADDRESS + os.getpid() % BLOCK_COUNT * ADDRESSES_PER_RUN + number)
--- a/ingress/emulator/live/recovery.py
+++ b/ingress/emulator/live/recovery.py
@@ -29,16 +29,22 @@
 from ingress.decisions.handover_state import CustomerState, QuotaUsage
 from ingress.decisions.settings import Settings
 from ingress.discovery.client import EndpointList
-from ingress.emulator.live.ingress import TICKS
-from ingress.emulator.live.upgrades import CLIENT_PORT, Caller, Ingress, Tally, ingress
+from ingress.emulator.live.ingress import CLOCK_TICKS_PER_S
+from ingress.emulator.live.upgrades import (
+    CLIENT_PORT,
+    IngressProcesses,
+    ResponseCounts,
+    SequentialClient,
+    prepared_ingress,
+)
 from ingress.endpoint_registry.store import Store
 from ingress.errors import IngressError
 from ingress.runtime.clock import unix_clock
 
-STARTS = 60.0
+START_TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.002
 PROBE_CUSTOMER = 1 << 32  # above the numbers of the customers in a checkpoint
-SNAPSHOT_EVERY_S = 1e9  # no periodic snapshot during the measurement
+SNAPSHOT_INTERVAL_S = 1e9  # no periodic snapshot during the measurement
 
 
 class TooSlowError(IngressError):
@@ -46,7 +52,7 @@
 
 
 @dataclass(frozen=True)
-class Start:
+class StartMeasurement:
     """The measurement of one start of a process.
 
     Attributes:
@@ -66,7 +72,7 @@
     memory: int
 
 
-class State:
+class GatewaySource:
     """A checkpoint source: a gateway with so many customers, each of which has spent one unit."""
 
     def __init__(self, settings: Settings, servers: list[dict[str, Any]], customers: int) -> None:
@@ -101,18 +107,18 @@
         pass
 
 
-async def keep(folder: Path, state: State) -> int:
+async def write_checkpoint(folder: Path, state: GatewaySource) -> int:
     """Write a checkpoint as left by a process killed right after its snapshot; return the snapshot size in bytes."""
-    writer = CheckpointWriter(CheckpointFiles(folder, "n0"), SNAPSHOT_EVERY_S, state, state.clock)
+    writer = CheckpointWriter(CheckpointFiles(folder, "n0"), SNAPSHOT_INTERVAL_S, state, state.clock)
     writer.acquire()
     writer.begin_first_log(1, 0)
     await writer.snapshot()
-    for handle in (writer.log_descriptor, writer.lock_descriptor):
-        os.close(handle)
+    for descriptor in (writer.log_descriptor, writer.lock_descriptor):
+        os.close(descriptor)
     return writer.snapshot_bytes
 
 
-async def of_ingress(customers: int | None) -> Start:
+async def measure_ingress_start(customers: int | None) -> StartMeasurement:
     """Measure the start of an ingress after a crash.
 
     Args:
@@ -122,34 +128,37 @@
         TooSlowError: It does not answer in time, or its log does not show the customers as recovered.
     """
     with tempfile.TemporaryDirectory() as checkpoint_folder:
-        more = {} if customers is None else {"checkpoint": {"folder": checkpoint_folder, "every_s": 3600.0}}
-        async with ingress(more=more) as one:
-            settings = slow_settings(one)
+        extra_keys = {} if customers is None else {"checkpoint": {"folder": checkpoint_folder, "every_s": 3600.0}}
+        async with prepared_ingress(extra_keys=extra_keys) as processes:
+            settings = slow_refill_settings(processes)
             size = 0
             if customers is not None:
-                size = await keep(Path(checkpoint_folder), State(settings, one.servers, customers))
-            began = time.monotonic()
-            task = asyncio.create_task(one.start())
-            tally = Tally()
-            caller = Caller((one.host, CLIENT_PORT), tally)
-            while not tally.answered and time.monotonic() - began < STARTS:
-                await caller.ask(PROBE_CUSTOMER, "wide")
+                size = await write_checkpoint(
+                    Path(checkpoint_folder), GatewaySource(settings, processes.servers, customers)
+                )
+            started_at = time.monotonic()
+            task = asyncio.create_task(processes.start())
+            counts = ResponseCounts()
+            client = SequentialClient((processes.host, CLIENT_PORT), counts)
+            while not counts.answered and time.monotonic() - started_at < START_TIMEOUT_S:
+                await client.send_request(PROBE_CUSTOMER, "wide")
                 await asyncio.sleep(POLL_INTERVAL_S)
-            seconds = time.monotonic() - began
-            if not tally.answered:
+            seconds = time.monotonic() - started_at
+            if not counts.answered:
                 raise TooSlowError(
-                    f"the ingress with {customers or 0} customers in its checkpoint did not answer within {STARTS:g} s"
+                    f"the ingress with {customers or 0} customers in its checkpoint did not answer within "
+                    f"{START_TIMEOUT_S:g} s"
                 )
-            [process] = one.spawned
-            cpu, memory = process.used()
+            [process] = processes.spawned
+            cpu, memory = process.resource_usage()
             await task
-            caller.close()
-            words = (one.folder / "p1.log").read_text(encoding="utf-8")
-            if customers and f"{customers} customers" not in words:
+            client.close()
+            log_text = (processes.folder / "p1.log").read_text(encoding="utf-8")
+            if customers and f"{customers} customers" not in log_text:
                 raise TooSlowError(
-                    f"the log of the ingress does not show {customers} recovered customers: {words[-300:]}"
+                    f"the log of the ingress does not show {customers} recovered customers: {log_text[-300:]}"
                 )
-            return Start(
+            return StartMeasurement(
                 "ingress" if customers is not None else "ingress, nothing kept",
                 customers or 0,
                 seconds,
@@ -159,16 +168,16 @@
             )
 
 
-def slow_settings(one: Ingress) -> Settings:
+def slow_refill_settings(processes: IngressProcesses) -> Settings:
     """Slow down the refill of the first plan and return the settings.
 
     The plans normally refill too fast for a spent unit to be visible in a checkpoint.
     """
-    one.refill = 1e-3
-    return one.settings()
+    processes.refill_per_s = 1e-3
+    return processes.settings()
 
 
-async def of_list(entries: int) -> Start:
+async def measure_registry_start(entries: int) -> StartMeasurement:
     """Measure the start of the registry on a store with so many entries, up to its first complete list.
 
     Raises:
@@ -198,7 +207,7 @@
         store.close()
         size = sum(path.stat().st_size for path in Path(folder).iterdir())
         port = _free_port()
-        began = time.monotonic()
+        started_at = time.monotonic()
         child = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -212,19 +221,19 @@
         try:
             while True:
                 with contextlib.suppress(OSError):
-                    body = await _get(port)
+                    body = await _get_list(port)
                     break
-                if child.returncode is not None or time.monotonic() - began > STARTS:
+                if child.returncode is not None or time.monotonic() - started_at > START_TIMEOUT_S:
                     raise TooSlowError(
                         f"the list service on port {port} did not answer (exit status {child.returncode}); it needs "
                         "requirements-registry.txt"
                     )
                 await asyncio.sleep(POLL_INTERVAL_S)
-            seconds = time.monotonic() - began
+            seconds = time.monotonic() - started_at
             if body.count(b'"s-') != entries:
                 raise TooSlowError(f"the list has {body.count(b's-')} entries; expected {entries}")
-            cpu, memory = _used(child.pid)
-            return Start("list service", entries, seconds, cpu, size, memory)
+            cpu, memory = _resource_usage(child.pid)
+            return StartMeasurement("list service", entries, seconds, cpu, size, memory)
         finally:
             with contextlib.suppress(ProcessLookupError):
                 child.kill()
@@ -239,7 +248,7 @@
         return int(sock.getsockname()[1])
 
 
-async def _get(port: int) -> bytes:
+async def _get_list(port: int) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     try:
         writer.write(b"GET /api/targets HTTP/1.1\r\nHost: list\r\nConnection: close\r\n\r\n")
@@ -248,19 +257,24 @@
         writer.close()
 
 
-def _used(pid: int) -> tuple[float, int]:
+def _resource_usage(pid: int) -> tuple[float, int]:
+    # The fields of proc(5) after the command: utime and stime in clock ticks, rss in pages.
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / TICKS, int(fields[21]) * os.sysconf("SC_PAGE_SIZE")
+    return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S, int(fields[21]) * os.sysconf("SC_PAGE_SIZE")
 
 
 def measure(sizes: list[int]) -> list[dict[str, Any]]:
-    """Measure a start of both programs for each size, and one of an ingress without a checkpoint."""
+    """Measure a start of both programs for each size, and one of an ingress without a checkpoint.
+
+    Raises:
+        TooSlowError: A process did not answer in time, or recovered something other than the stored state.
+    """
 
-    async def run() -> list[Start]:
+    async def run() -> list[StartMeasurement]:
         return [
-            await of_ingress(None),
-            *[await of_ingress(size) for size in sizes],
-            *[await of_list(size) for size in sizes],
+            await measure_ingress_start(None),
+            *[await measure_ingress_start(size) for size in sizes],
+            *[await measure_registry_start(size) for size in sizes],
         ]
 
     return [asdict(measurement) for measurement in uvloop.run(run())]
--- a/ingress/emulator/live/upgrades.py
+++ b/ingress/emulator/live/upgrades.py
@@ -26,7 +26,7 @@
 from ingress.decisions.settings import Settings
 from ingress.emulator.experiment import build_experiment
 from ingress.emulator.live.clients import NOTHING
-from ingress.emulator.live.ingress import Process, call, wire_settings
+from ingress.emulator.live.ingress import IngressProcess, call_admin, config_settings
 from ingress.emulator.live.loopback import loopback
 from ingress.emulator.testbed import gateway_settings
 from ingress.errors import IngressError
@@ -35,12 +35,14 @@
 CONTROL_PORT = 7001
 REQUEST_WORDS = 4  # the command, the customer, the request ID and the fields
 PAUSE_S = 1.5  # long enough for the others to count a paused process as silent
-SETTLES = 30.0
-LOOK = 0.01
-WATCH = 2.0  # the period over which messages between idle processes are counted
+SETTLE_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.01
+REQUEST_INTERVAL_S = 0.005  # between requests of one client
+GREEDY_REQUEST_INTERVAL_S = 0.002
+IDLE_TRAFFIC_PERIOD_S = 2.0  # the period over which messages between idle processes are counted
 CEILING_RATE_PER_S = 40.0  # of the customer that sends far more requests than its ceiling allows
 CEILING_BURST = 20.0
-SLACK = 0.15  # with real sockets, PROTOCOL widens the slack of the ceiling by its rate over this time
+SOCKET_SLACK_S = 0.15  # with real sockets, PROTOCOL widens the slack of the ceiling by its rate over this time
 
 
 BOUND_CUSTOMER = 7  # the customer that sends more requests than its ceiling allows
@@ -50,7 +52,7 @@
     """The processes did not agree on their membership in time, or a step of the measurement failed."""
 
 
-class Echo(asyncio.Protocol):
+class EchoServer(asyncio.Protocol):
     """A fake server that answers each request at once with its ID.
 
     Attributes:
@@ -80,29 +82,29 @@
 
 
 @dataclass
-class Ingress:
+class IngressProcesses:
     """The processes of one ingress, in order of their start.
 
     Attributes:
-        more: Further keys of the configuration of each process.
-        trees: The source trees that the processes run, in turn; None is this package.
-        refill: The units per second of the plan without an effective ceiling.
+        extra_keys: Further keys of the configuration of each process.
+        source_trees: The source trees that the processes run, in turn; None is this package.
+        refill_per_s: The units per second of the plan without an effective ceiling.
     """
 
     folder: Path
     host: str
     servers: list[dict[str, object]]
     served: dict[bytes, int]
-    more: dict[str, Any]
-    trees: list[Path | None]
-    running: list[Process] = field(default_factory=list)
-    spawned: list[Process] = field(default_factory=list)
-    refill: float = 1e6
+    extra_keys: dict[str, Any]
+    source_trees: list[Path | None]
+    running: list[IngressProcess] = field(default_factory=list)
+    spawned: list[IngressProcess] = field(default_factory=list)
+    refill_per_s: float = 1e6
 
     def settings(self) -> Settings:
         """Return the settings: one plan without an effective ceiling, and one whose ceiling limits the load."""
         plans = [
-            {"name": "wide", "rate": self.refill, "burst": 1e6},
+            {"name": "wide", "rate": self.refill_per_s, "burst": 1e6},
             {
                 "name": "bound",
                 "rate": 1e6,
@@ -123,46 +125,46 @@
         )
         return gateway_settings(spec, 0, list(spec.plans))
 
-    async def start(self) -> Process:
+    async def start(self) -> IngressProcess:
         """Start one more process of the ingress, which takes over from the last."""
         number = len(self.spawned) + 1
-        process = Process(
+        process = IngressProcess(
             "n0",
             (self.host, CLIENT_PORT),
             (self.host, CONTROL_PORT + number),
             self.folder,
             f"p{number}",
-            self.trees[(number - 1) % len(self.trees)],
+            self.source_trees[(number - 1) % len(self.source_trees)],
         )
         self.spawned.append(process)
-        process.write(
+        process.write_config(
             (self.host, 1),
             None,
             {"version": 1, "full": True, "servers": self.servers},
             number,
-            wire_settings(self.settings(), 0.25, 15.0),
-            **self.more,
+            config_settings(self.settings(), connect_timeout_s=0.25, idle_timeout_s=15.0),
+            **self.extra_keys,
         )
         await process.start()
         self.running.append(process)
         return process
 
-    async def ends(self, process: Process, number: signal.Signals) -> int | None:
+    async def stop(self, process: IngressProcess, signal_number: signal.Signals) -> int | None:
         """Send a signal to a process and return its exit status, or None if it still runs after the timeout."""
         self.running.remove(process)
-        process.send(number)
-        return await process.ended(SETTLES)
+        process.send_signal(signal_number)
+        return await process.wait_exit(SETTLE_TIMEOUT_S)
 
 
 @asynccontextmanager
-async def ingress(
-    servers: int = 4, more: dict[str, Any] | None = None, trees: list[Path | None] | None = None
-) -> AsyncIterator[Ingress]:
+async def prepared_ingress(
+    servers: int = 4, extra_keys: dict[str, Any] | None = None, source_trees: list[Path | None] | None = None
+) -> AsyncIterator[IngressProcesses]:
     """Prepare an ingress with a loopback address of its own and a temporary folder; kill its processes at the end."""
     served: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
     host = loopback(0)
-    listener = await loop.create_server(lambda: Echo(served), host, 0)
+    listener = await loop.create_server(lambda: EchoServer(served), host, 0)
     address = listener.sockets[0].getsockname()
     rows: list[dict[str, object]] = [
         {
@@ -178,18 +180,18 @@
         for n in range(servers)
     ]
     with tempfile.TemporaryDirectory() as folder:
-        found = Ingress(Path(folder), host, rows, served, more or {}, trees or [None])
+        processes = IngressProcesses(Path(folder), host, rows, served, extra_keys or {}, source_trees or [None])
         try:
-            yield found
+            yield processes
         finally:
-            for process in list(found.running):
-                process.send(signal.SIGCONT)
-                await found.ends(process, signal.SIGKILL)
+            for process in list(processes.running):
+                process.send_signal(signal.SIGCONT)
+                await processes.stop(process, signal.SIGKILL)
             listener.close()
 
 
 @dataclass(frozen=True)
-class View:
+class GroupView:
     """What a process reports about its process group.
 
     Attributes:
@@ -216,81 +218,85 @@
         )
 
 
-def _pair(text: str, pattern: str) -> tuple[int, int]:
+def _match_pair(text: str, pattern: str) -> tuple[int, int]:
     found = re.search(pattern, text)
     if found is None:
         raise UnsettledError(f"show-members: no match for {pattern!r} in {text!r:.200}")
     return int(found[1]), int(found[2])
 
 
-async def look(process: Process) -> View:
+async def read_view(process: IngressProcess) -> GroupView:
     """Return what a process reports about its group at its admin server."""
-    text = await call(process.control, "show-members")
+    text = await call_admin(process.control, "show-members")
     lines = [line for line in text.split("\n") if line.startswith("member: ")]
     [own] = [line for line in lines if "(this one)" in line]
-    return View(
+    return GroupView(
         tuple((line.split()[1], " leads" in line, " accepts" in line, " silent" in line) for line in lines),
-        _pair(text, r"total: (\d+) from clients, (\d+) to"),
-        _pair(own, r"of (-?\d+)\+(-?\d+)"),
+        _match_pair(text, r"total: (\d+) from clients, (\d+) to"),
+        _match_pair(own, r"of (-?\d+)\+(-?\d+)"),
         # Builds that do not count messages report none.
-        *(_pair(text, r"links: \d+, (\d+) messages told, (\d+) bytes") if "links: " in text else (0, 0)),
+        *(_match_pair(text, r"links: \d+, (\d+) messages told, (\d+) bytes") if "links: " in text else (0, 0)),
     )
 
 
-async def settle(one: Ingress) -> float:
+async def wait_until_settled(processes: IngressProcesses) -> float:
     """Wait until all processes agree and return the seconds since the call.
 
     Raises:
         UnsettledError: They do not agree in time, or together they may hold more than the total.
     """
-    began = time.monotonic()
-    while time.monotonic() - began < SETTLES:
-        views = [await look(process) for process in one.running]
+    started_at = time.monotonic()
+    while time.monotonic() - started_at < SETTLE_TIMEOUT_S:
+        views = [await read_view(process) for process in processes.running]
         for side in (0, 1):
             if sum(view.own[side] for view in views) > views[0].total[side]:
                 # The processes are asked one after the other, so a grant may have been counted at both ends.  Only an
                 # excess that a second reading in reverse order confirms counts.
-                again = [await look(process) for process in reversed(one.running)]
+                again = [await read_view(process) for process in reversed(processes.running)]
                 if sum(view.own[side] for view in again) > views[0].total[side]:
                     raise UnsettledError(
                         f"the processes may hold more connections than the total of {views[0].total[side]}"
                     )
-        if len({view.rows for view in views}) == 1 and views[0].settled(len(one.running)):
-            return time.monotonic() - began
-        await asyncio.sleep(LOOK)
-    raise UnsettledError(f"the {len(one.running)} processes did not agree on their membership within {SETTLES:g} s")
+        if len({view.rows for view in views}) == 1 and views[0].settled(len(processes.running)):
+            return time.monotonic() - started_at
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise UnsettledError(
+        f"the {len(processes.running)} processes did not agree on their membership within {SETTLE_TIMEOUT_S:g} s"
+    )
 
 
-async def chain(count: int) -> dict[str, float]:
+async def measure_chain(count: int) -> dict[str, float]:
     """Measure the seconds to settle after each kind of event in a chain, and the traffic between idle processes."""
-    found: dict[str, float] = {}
-    async with ingress() as one:
+    results: dict[str, float] = {}
+    async with prepared_ingress() as processes:
         for _ in range(count):
-            await one.start()
-        found["come"] = await settle(one)
-        before = [await look(process) for process in one.running]
-        began = time.monotonic()
-        await asyncio.sleep(WATCH)
-        after = [await look(process) for process in one.running]
-        span = time.monotonic() - began
-        found["messages_s"] = (
-            sum(later.messages - earlier.messages for later, earlier in zip(after, before, strict=True)) / span
+            await processes.start()
+        results["come"] = await wait_until_settled(processes)
+        before = [await read_view(process) for process in processes.running]
+        started_at = time.monotonic()
+        await asyncio.sleep(IDLE_TRAFFIC_PERIOD_S)
+        after = [await read_view(process) for process in processes.running]
+        elapsed_s = time.monotonic() - started_at
+        results["messages_s"] = (
+            sum(later.messages - earlier.messages for later, earlier in zip(after, before, strict=True)) / elapsed_s
+        )
+        results["bytes_s"] = (
+            sum(later.bytes - earlier.bytes for later, earlier in zip(after, before, strict=True)) / elapsed_s
         )
-        found["bytes_s"] = sum(later.bytes - earlier.bytes for later, earlier in zip(after, before, strict=True)) / span
-        stopped = one.running[count // 2]
-        stopped.send(signal.SIGSTOP)
+        stopped = processes.running[count // 2]
+        stopped.send_signal(signal.SIGSTOP)
         await asyncio.sleep(PAUSE_S)
-        stopped.send(signal.SIGCONT)
-        found["paused"] = await settle(one)
-        for name, place in (("eldest_killed", 0), ("youngest_killed", -1), ("middle_killed", count // 2 - 1)):
-            if len(one.running) > 1:
-                await one.ends(one.running[place], signal.SIGKILL)
-                found[name] = await settle(one)
-    return found
+        stopped.send_signal(signal.SIGCONT)
+        results["paused"] = await wait_until_settled(processes)
+        for name, index in (("eldest_killed", 0), ("youngest_killed", -1), ("middle_killed", count // 2 - 1)):
+            if len(processes.running) > 1:
+                await processes.stop(processes.running[index], signal.SIGKILL)
+                results[name] = await wait_until_settled(processes)
+    return results
 
 
 @dataclass
-class Tally:
+class ResponseCounts:
     """The number of responses to clients by kind.
 
     Attributes:
@@ -306,116 +312,118 @@
     again: int = 0
 
 
-class Caller:
+class SequentialClient:
     """A client with one connection and one request at a time.
 
     A request that crosses the close of its connection is sent once more on a new one.
     """
 
-    def __init__(self, address: tuple[str, int], tally: Tally) -> None:
+    def __init__(self, address: tuple[str, int], counts: ResponseCounts) -> None:
         self.address = address
-        self.tally = tally
-        self.numbers = itertools.count()
-        self.talk: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
+        self.counts = counts
+        self.request_numbers = itertools.count()
+        self.streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
 
-    async def ask(self, customer: int, plan: str) -> None:
+    async def send_request(self, customer: int, plan: str) -> None:
         """Send one request and count its response; send it once more if a reused connection was closed."""
-        number = b"%016x" % next(self.numbers)
-        names = f"c=read,t={plan},d=2000,units=1,spread=1,first=0".encode()
-        words = [b"API.READ", b"%016x" % customer, number, names]
+        number = b"%016x" % next(self.request_numbers)
+        fields = f"c=read,t={plan},d=2000,units=1,spread=1,first=0".encode()
+        words = [b"API.READ", b"%016x" % customer, number, fields]
         data = b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)
-        for last in (False, True):
-            fresh = self.talk is None
+        for is_last_attempt in (False, True):
+            is_new_connection = self.streams is None
             try:
-                if self.talk is None:
-                    self.talk = await asyncio.open_connection(*self.address)
-                self.talk[1].write(data)
-                answer = await self._answer(self.talk[0])
+                if self.streams is None:
+                    self.streams = await asyncio.open_connection(*self.address)
+                self.streams[1].write(data)
+                response = await self._read_response(self.streams[0])
             except (OSError, EOFError):
                 self.close()
-                if last or fresh:
+                if is_last_attempt or is_new_connection:
                     break
-                self.tally.again += 1
+                self.counts.again += 1
                 continue
-            if answer == number:
-                self.tally.answered += 1
-            elif isinstance(answer, hiredis.ReplyError) and str(answer).startswith("BUSY"):
-                self.tally.refused += 1
+            if response == number:
+                self.counts.answered += 1
+            elif isinstance(response, hiredis.ReplyError) and str(response).startswith("BUSY"):
+                self.counts.refused += 1
             else:
                 break
             return
-        self.tally.lost += 1
+        self.counts.lost += 1
 
-    async def _answer(self, reader: asyncio.StreamReader) -> object:
+    async def _read_response(self, reader: asyncio.StreamReader) -> object:
         parser = hiredis.Reader(notEnoughData=NOTHING)
-        while (answer := parser.gets()) is NOTHING:
+        while (response := parser.gets()) is NOTHING:
             data = await reader.read(1 << 16)
             if not data:
                 raise EOFError
             parser.feed(data)
-        return answer
+        return response
 
     def close(self) -> None:
         """Close the connection."""
-        if self.talk is not None:
-            self.talk[1].close()
-            self.talk = None
+        if self.streams is not None:
+            self.streams[1].close()
+            self.streams = None
 
 
-async def upgrades(count: int, clients: int, told: Callable[[int], None], trees: list[Path | None]) -> dict[str, float]:
-    """Run upgrades one after the other under load; `told` is called with the number of each.
+async def run_upgrades(
+    count: int, clients: int, report_progress: Callable[[int], None], source_trees: list[Path | None]
+) -> dict[str, float]:
+    """Run upgrades one after the other under load; `report_progress` is called with the number of each.
 
     In the result, `over` is the number of units beyond what the ceiling of one customer and its slack allow since the
     start, and `settle_max` the longest time in seconds from the exit of an old process until the group has settled.
     """
-    tally = Tally()
-    over = asyncio.Event()
-    slowest = 0.0
-    async with ingress(trees=trees) as one:
-        old = await one.start()
-        began = time.monotonic()
+    counts = ResponseCounts()
+    load_stopped = asyncio.Event()
+    max_settle_s = 0.0
+    async with prepared_ingress(source_trees=source_trees) as processes:
+        old_process = await processes.start()
+        started_at = time.monotonic()
 
         async def client(number: int) -> None:
-            caller = Caller(old_address, tally)
-            for turn in itertools.count():
-                if over.is_set():
+            client_connection = SequentialClient(client_address, counts)
+            for request_index in itertools.count():
+                if load_stopped.is_set():
                     break
                 greedy = number == 0
-                await caller.ask(
-                    BOUND_CUSTOMER if greedy else number * 100_000 + turn % 1000, "bound" if greedy else "wide"
+                await client_connection.send_request(
+                    BOUND_CUSTOMER if greedy else number * 100_000 + request_index % 1000, "bound" if greedy else "wide"
                 )
-                await asyncio.sleep(0.002 if greedy else 0.005)
-            caller.close()
+                await asyncio.sleep(GREEDY_REQUEST_INTERVAL_S if greedy else REQUEST_INTERVAL_S)
+            client_connection.close()
 
-        old_address = (one.host, CLIENT_PORT)
+        client_address = (processes.host, CLIENT_PORT)
         tasks = [asyncio.create_task(client(number)) for number in range(clients)]
         for number in range(count):
-            fresh = await one.start()
-            status = await one.ends(old, signal.SIGTERM)
+            new_process = await processes.start()
+            status = await processes.stop(old_process, signal.SIGTERM)
             if status != 0:
                 raise UnsettledError(f"upgrade {number}: the old process exited with status {status} after SIGTERM")
-            slowest = max(slowest, await settle(one))
-            old = fresh
-            told(number + 1)
-        over.set()
+            max_settle_s = max(max_settle_s, await wait_until_settled(processes))
+            old_process = new_process
+            report_progress(number + 1)
+        load_stopped.set()
         await asyncio.gather(*tasks)
-        span = time.monotonic() - began
-        allowed = CEILING_RATE_PER_S * (span + SLACK) + CEILING_BURST + 1.0
+        elapsed_s = time.monotonic() - started_at
+        allowed_units = CEILING_RATE_PER_S * (elapsed_s + SOCKET_SLACK_S) + CEILING_BURST + 1.0
         return {
             "upgrades": count,
-            "seconds": round(span, 3),
-            "answered": tally.answered,
-            "refused": tally.refused,
-            "sent_again": tally.again,
-            "lost": tally.lost,
-            "bound_units": one.served.get(b"%016x" % BOUND_CUSTOMER, 0),
-            "over": max(0.0, one.served.get(b"%016x" % BOUND_CUSTOMER, 0) - allowed),
-            "settle_max": round(slowest, 3),
+            "seconds": round(elapsed_s, 3),
+            "answered": counts.answered,
+            "refused": counts.refused,
+            "sent_again": counts.again,
+            "lost": counts.lost,
+            "bound_units": processes.served.get(b"%016x" % BOUND_CUSTOMER, 0),
+            "over": max(0.0, processes.served.get(b"%016x" % BOUND_CUSTOMER, 0) - allowed_units),
+            "settle_max": round(max_settle_s, 3),
         }
 
 
 def measure(
-    chains: list[int], count: int, clients: int, told: Callable[[str], None], before: Path | None = None
+    chains: list[int], count: int, clients: int, report_progress: Callable[[str], None], other_tree: Path | None = None
 ) -> dict[str, Any]:
     """Measure chains of processes and upgrades under load and return the result as plain data.
 
@@ -423,8 +431,8 @@
         chains: The number of processes of each chain.
         count: The number of upgrades under load.
         clients: The number of connections of the load.
-        told: A function that is called with a line for each step.
-        before: A source tree of another build; every other upgrade goes from it to this build, the rest go back.
+        report_progress: A function that is called with a line for each step.
+        other_tree: A source tree of another build; every other upgrade goes from it to this build, the rest go back.
 
     Raises:
         UnsettledError: The processes did not agree, an upgrade failed or SIGINT interrupted the measurement.
@@ -433,14 +441,14 @@
     async def run() -> dict[str, Any]:
         found: dict[str, Any] = {"chains": {}}
         for size in chains:
-            told(f"a chain of {size}")
-            found["chains"][size] = {key: round(value, 3) for key, value in (await chain(size)).items()}
+            report_progress(f"a chain of {size}")
+            found["chains"][size] = {key: round(value, 3) for key, value in (await measure_chain(size)).items()}
         if count:
-            found["upgrades"] = await upgrades(
+            found["upgrades"] = await run_upgrades(
                 count,
                 clients,
-                lambda number: told(f"upgrade {number} of {count}"),
-                [before, None] if before is not None else [None],
+                lambda number: report_progress(f"upgrade {number} of {count}"),
+                [other_tree, None] if other_tree is not None else [None],
             )
         return found
 
--- a/ingress/emulator/live/vanish.py
+++ b/ingress/emulator/live/vanish.py
@@ -11,25 +11,26 @@
 import socket
 import struct
 
-SO_ATTACH_FILTER = 26  # of <asm/socket.h>, as the next
+# The values of <asm/socket.h>.
+SO_ATTACH_FILTER = 26
 SO_DETACH_FILTER = 27
-KEEP_NOTHING = struct.pack("HBBI", 0x06, 0, 0, 0)  # struct sock_filter: BPF_RET with 0
+DROP_ALL_FILTER = struct.pack("HBBI", 0x06, 0, 0, 0)  # struct sock_filter: BPF_RET with 0
 
 
-def vanish(handle: int) -> None:
+def drop_packets(descriptor: int) -> None:
     """Drop every packet that arrives for the socket of this descriptor from now on.
 
     Raises:
         OSError: The system does not support socket filters.
     """
-    program = ctypes.create_string_buffer(KEEP_NOTHING, len(KEEP_NOTHING))
-    with socket.socket(fileno=os.dup(handle)) as sock:
+    program = ctypes.create_string_buffer(DROP_ALL_FILTER, len(DROP_ALL_FILTER))
+    with socket.socket(fileno=os.dup(descriptor)) as sock:
         sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("HL", 1, ctypes.addressof(program)))
 
 
-def come_back(handle: int) -> None:
+def receive_packets(descriptor: int) -> None:
     """Receive packets again; do nothing if the socket has no filter."""
-    with socket.socket(fileno=os.dup(handle)) as sock:
+    with socket.socket(fileno=os.dup(descriptor)) as sock:
         try:
             sock.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
         except FileNotFoundError:
--- a/tests/test_emulator_live.py
+++ b/tests/test_emulator_live.py
@@ -1,4 +1,4 @@
-"""The emulator on real sockets: stand-ins speak PROTOCOL, the load is open, real processes die and are found out."""
+"""The emulator on real sockets: fake servers speak PROTOCOL, the load is open, and dead processes are reported."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 from ingress.emulator.follow import follow
 from ingress.emulator.gateways import PendingRequest
 from ingress.emulator.kernel import random_streams
-from ingress.emulator.live.agent import Agent
-from ingress.emulator.live.clients import Caller, Checks
-from ingress.emulator.live.counter import Counter
-from ingress.emulator.live.ingress import Process
+from ingress.emulator.live.agent import FakeDiscoveryAgent
+from ingress.emulator.live.clients import ClientConnections, ResponseObserver
+from ingress.emulator.live.counter import FakeCounter
+from ingress.emulator.live.ingress import IngressProcess
 from ingress.emulator.live.kernel import RealKernel
-from ingress.emulator.live.play import LiveGateway, LivePlay, read_figures
-from ingress.emulator.live.servers import StandIn, value_of
+from ingress.emulator.live.play import LiveGateway, LiveRun, parse_stats
+from ingress.emulator.live.servers import FakeServer, response_value
 from ingress.emulator.measure import Recorder
 from ingress.emulator.network import NetworkModel
 from ingress.emulator.rules import RequestRecord
@@ -54,79 +54,84 @@
     )
 
 
-class Book:
-    """A ledger in which one request stands."""
+class RecordingObserver:
+    """An observer of attempts with one pending request."""
 
     def __init__(self) -> None:
         spec = experiment()
         self.record = RequestRecord("1.1", spec.classes[0], spec.plans[0], 7, 1.0, 5.0)
-        self.held = PendingRequest(Caller(RealKernel(), 0, ("", 0), Checks()), self.record, 0.005, None)
+        self.pending_request = PendingRequest(
+            ClientConnections(RealKernel(), 0, ("", 0), ResponseObserver()), self.record, 0.005, None
+        )
         self.outcomes: list[Outcome] = []
-        self.faults: list[str] = []
+        self.violations: list[str] = []
 
-    def asked(self, request: str) -> PendingRequest | None:
-        return self.held if request == "1.1" else None
+    def find_request(self, request: str) -> PendingRequest | None:
+        return self.pending_request if request == "1.1" else None
 
-    def arrived(self, held: PendingRequest, server: ServerModel, request: str) -> bool:
+    def attempt_arrived(self, pending_request: PendingRequest, server: ServerModel, request: str) -> bool:
         return True
 
-    def ended(self, held: PendingRequest, place: int, outcome: Outcome) -> None:
+    def attempt_ended(self, pending_request: PendingRequest, attempt_index: int, outcome: Outcome) -> None:
         self.outcomes.append(outcome)
 
-    def odd(self, text: str) -> None:
-        self.faults.append(text)
+    def protocol_violation(self, text: str) -> None:
+        self.violations.append(text)
 
     def log(self, event: str, request: str, server: str) -> None:
         pass
 
 
 @asynccontextmanager
-async def stand_in(**fleet: Any) -> AsyncIterator[tuple[StandIn, Book]]:
-    spec, draws, book = experiment(fleet={"error_rate": 0.0} | fleet), random_streams(1, ("servers", "network")), Book()
+async def fake_server(**fleet: Any) -> AsyncIterator[tuple[FakeServer, RecordingObserver]]:
+    spec = experiment(fleet={"error_rate": 0.0} | fleet)
+    streams = random_streams(1, ("servers", "network"))
+    observer = RecordingObserver()
     kernel = RealKernel()
-    model = ServerModel(kernel, spec.fleet, 0, "s-00000", draws["servers"])
-    server = StandIn(model, kernel, NetworkModel(spec.network, draws["network"]), book)
+    model = ServerModel(kernel, spec.fleet, 0, "s-00000", streams["servers"])
+    server = FakeServer(model, kernel, NetworkModel(spec.network, streams["network"]), observer)
     await server.open()
     try:
-        yield server, book
+        yield server, observer
     finally:
         kernel.stop()
         server.close()
 
 
-def test_a_stand_in_answers_as_the_protocol_has_it() -> None:
+def test_a_fake_server_answers_according_to_the_protocol() -> None:
     async def body() -> None:
-        async with stand_in() as (server, book):
+        async with fake_server() as (server, observer):
             client = await Client.connect(server.address)
-            assert await client.request(command("1.1")) == [value_of("1.1", "s-00000"), None, None]
+            assert await client.request(command("1.1")) == [response_value("1.1", "s-00000"), None, None]
             assert await client.request(resp(b"PING")) == b"PONG"
             assert await client.request(resp(b"CLIENT", b"SETNAME", b"x")) == b"OK"
             assert isinstance(await client.request(resp(b"HELLO", b"3")), hiredis.ReplyError)
-            assert str(await client.request(command("9.9"))) == "SYNTAX"  # nobody asked for that
-            assert len(book.faults) == 1
+            assert str(await client.request(command("9.9"))) == "SYNTAX"  # no client waits for this request
+            assert len(observer.violations) == 1
             for mode, answer in (("errors", "ERR failed"), ("spoilt", "None")):
                 server.model.defect = Defect(mode, 1.0, 1.0)
                 assert str(await client.request(command("1.1"))) == answer
-            server.model.defect, server.model.is_draining = None, True
+            server.model.defect = None
+            server.model.is_draining = True
             assert str(await client.request(command("1.1"))) == "BUSY"
-            assert book.outcomes == [Outcome.OK, Outcome.ERROR, Outcome.MALFORMED, Outcome.REJECTED]
+            assert observer.outcomes == [Outcome.OK, Outcome.ERROR, Outcome.MALFORMED, Outcome.REJECTED]
 
     run_async(body())
 
 
-def test_a_machine_that_vanished_is_silent_and_resets_when_it_is_back() -> None:
+def test_an_unreachable_machine_is_silent_and_resets_connections_when_it_returns() -> None:
     async def body() -> None:
-        async with stand_in() as (server, _):
+        async with fake_server() as (server, _):
             client = await Client.connect(server.address)
             assert await client.request(resp(b"PING")) == b"PONG"
             server.model.stop()
             server.model.is_reachable = False
-            server.vanish()
+            server.drop_packets()
             client.writer.write(command("1.1"))
             answer = asyncio.create_task(client.read_answer())
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.3):
-                    await Client.connect(server.address)  # it never comes up
+                    await Client.connect(server.address)  # the connection is never established
             sock = client.writer.get_extra_info("socket")
             unacknowledged = struct.unpack("I", fcntl.ioctl(sock.fileno(), termios.TIOCOUTQ, b"\0" * 4))[0]
             assert unacknowledged == len(command("1.1")) and not answer.done()
@@ -134,15 +139,15 @@
             server.reset()
             with pytest.raises((EOFError, ConnectionError)):
                 await answer
-            again = await Client.connect(server.address)
-            assert await again.request(resp(b"PING")) == b"PONG"
+            new_client = await Client.connect(server.address)
+            assert await new_client.request(resp(b"PING")) == b"PONG"
 
     run_async(body())
 
 
-def test_a_full_connection_table_turns_connections_away() -> None:
+def test_a_full_connection_table_resets_new_connections() -> None:
     async def body() -> None:
-        async with stand_in(cores=1, connections_per_core=2) as (server, _):
+        async with fake_server(cores=1, connections_per_core=2) as (server, _):
             clients = [await Client.connect(server.address) for _ in range(2)]
             assert [await client.request(resp(b"PING")) for client in clients] == [b"PONG"] * 2
             third = await Client.connect(server.address)
@@ -155,41 +160,42 @@
     run_async(body())
 
 
-def test_the_agent_tells_lists_and_changes_as_the_ingress_reads_them() -> None:
+def test_the_agent_serves_lists_and_changes_in_the_form_that_the_ingress_reads() -> None:
     async def body() -> None:
-        told: list[tuple[list[str], bool]] = []
-        agent = Agent(
+        sent: list[tuple[list[str], bool]] = []
+        agent = FakeDiscoveryAgent(
             lambda name: ("127.0.0.1", 6379),
             lambda entry: entry,
-            lambda entries, full: told.append(([e.id for e in entries], full)),
+            lambda entries, full: sent.append(([e.id for e in entries], full)),
         )
         agent.entries = {"a": Endpoint("a")}
         await agent.open()
-        caller = HttpConnection(agent.address)
+        connection = HttpConnection(agent.address)
 
         async def ask(query: str = "") -> Any:
-            return read_endpoint_list(json.loads(await caller.get("/api/targets" + query)))
+            return read_endpoint_list(json.loads(await connection.get("/api/targets" + query)))
 
         first = await ask()
         assert (first.is_complete, [b.id for b in first.endpoints]) == (True, ["a"])
         watch = asyncio.create_task(ask(f"?after={first.version}&wait_ms=10000"))
-        await wait_until(lambda: agent.waiting)
-        agent.learn(
+        await wait_until(lambda: agent.watches)
+        agent.apply(
             EndpointsChanged(EndpointListKind.UPDATE, (Endpoint("b"), Endpoint("a", readiness=Readiness.REMOVED)), 9)
         )
-        news = await watch
-        assert (news.version, news.is_complete) == (9, False)
-        assert {b.id: b.readiness for b in news.endpoints} == {"a": Readiness.REMOVED, "b": Readiness.READY}
+        update = await watch
+        assert (update.version, update.is_complete) == (9, False)
+        assert {b.id: b.readiness for b in update.endpoints} == {"a": Readiness.REMOVED, "b": Readiness.READY}
         assert [b.id for b in (await ask()).endpoints] == ["b"]
-        assert (await ask(f"?after={news.version}&wait_ms=1")).endpoints == ()
-        assert (await ask("?after=99&wait_ms=1")).is_complete  # from the future: another store's version
-        agent.learn(EndpointsChanged(EndpointListKind.REPLACE, (Endpoint("c"),), 12))
-        assert (await ask("?after=9&wait_ms=1")).is_complete  # older than all that it remembers
+        assert (await ask(f"?after={update.version}&wait_ms=1")).endpoints == ()
+        # A version that is newer than the agent's, such as that of another store.
+        assert (await ask("?after=99&wait_ms=1")).is_complete
+        agent.apply(EndpointsChanged(EndpointListKind.REPLACE, (Endpoint("c"),), 12))
+        assert (await ask("?after=9&wait_ms=1")).is_complete  # older than the changes that the agent keeps
         agent.silent = True
-        quiet = asyncio.create_task(ask("?after=3&wait_ms=1"))
+        unanswered = asyncio.create_task(ask("?after=3&wait_ms=1"))
         await asyncio.sleep(0.05)
-        assert not quiet.done()
-        quiet.cancel()
+        assert not unanswered.done()
+        unanswered.cancel()
         agent.close()
 
     run_async(body())
@@ -209,79 +215,83 @@
     ],
 )
 def test_the_counter_answers_each_call(line: str, answer: str) -> None:
-    assert Counter().answer(line, 0.0) == answer
+    assert FakeCounter().answer(line, 0.0) == answer
 
 
-def test_the_counter_keeps_a_name_for_the_life_that_its_first_call_gave() -> None:
-    counter = Counter()
+def test_the_counter_keeps_a_name_for_the_ttl_of_its_first_call() -> None:
+    counter = FakeCounter()
     assert [counter.answer("add a 1 2000", now) for now in (0.0, 1.0, 1.9, 2.0)] == ["ok 1", "ok 2", "ok 3", "ok 1"]
     counter.answer("add b 1 90000", 0.0)
     assert counter.answer("add b 1 1", 59.9) == "ok 2"
-    assert counter.answer("add b 1 1", 60.0) == "ok 1"  # 60 s at most
+    assert counter.answer("add b 1 1", 60.0) == "ok 1"  # the TTL is limited to 60 s
 
 
-def test_what_a_stall_would_hide_from_a_closed_loop_is_counted() -> None:
-    """A server that answers nothing for a while: each request that was due meanwhile counts its whole wait."""
+def test_latency_includes_the_wait_that_a_closed_loop_would_hide_during_a_stall() -> None:
+    """While a server stalls, the latency of each request counts from the time at which it was due."""
 
     async def body() -> None:
-        go, first = asyncio.Event(), asyncio.Event()
+        release = asyncio.Event()
+        first_request = asyncio.Event()
 
-        async def stalls(_: int, reader: Reader, writer: Writer) -> None:
+        async def stall(_: int, reader: Reader, writer: Writer) -> None:
             while True:
                 words = await read_command(reader)
-                first.set()
-                await go.wait()
+                first_request.set()
+                await release.wait()
                 writer.write(endpoint_answer(words[2]))
 
-        async with Peer(stalls) as peer:
+        async with Peer(stall) as peer:
             spec = experiment(
                 seconds=0.5,
                 load={"rate": 200, "retries": 0, "spread": 1.0},
                 classes=[{"name": "read", "aim_s": 10, "deadline_s": 20}],
             )
-            kernel, record, draws = RealKernel(), Recorder(), random_streams(1, ("arrivals", "front", "network"))
-            caller = Caller(kernel, 0, peer.address, Checks())
+            kernel = RealKernel()
+            recorder = Recorder()
+            streams = random_streams(1, ("arrivals", "front", "network"))
+            connections = ClientConnections(kernel, 0, peer.address, ResponseObserver())
             clients = ClientPopulation(
                 kernel,
                 spec,
-                NetworkModel(spec.network, draws["network"]),
-                record,
-                [caller],
-                draws["arrivals"],
-                draws["front"],
+                NetworkModel(spec.network, streams["network"]),
+                recorder,
+                [connections],
+                streams["arrivals"],
+                streams["front"],
             )
-            caller.load_balancer, caller.up = clients, True
+            connections.load_balancer = clients
+            connections.up = True
             clients.start()
-            await first.wait()
-            await wait_until(lambda: kernel.now > 0.6)  # all were due by now, and none was held back
-            sent = record.totals["tries"]
+            await first_request.wait()
+            await wait_until(lambda: kernel.now > 0.6)  # all requests are due by now, and none was held back
+            sent = recorder.totals["tries"]
             released = kernel.now
-            go.set()
-            await wait_until(lambda: record.totals["served"] == sent)
+            release.set()
+            await wait_until(lambda: recorder.totals["served"] == sent)
             assert sent > 50
-            found = record.latencies["request"].histogram
-            assert found.get_total_count() == sent
-            # They were spread over half a second: half of them waited for longer than half of the stall.
-            assert found.get_value_at_percentile(50) / 1e6 > released - 0.5
-            assert found.get_min_value() / 1e6 >= released - 0.5 - 0.01
+            histogram = recorder.latencies["request"].histogram
+            assert histogram.get_total_count() == sent
+            # They were due over half a second, so each waited for at least the stall less that half second.
+            assert histogram.get_value_at_percentile(50) / 1e6 > released - 0.5
+            assert histogram.get_min_value() / 1e6 >= released - 0.5 - 0.01
             kernel.stop()
-            caller.close()
+            connections.close()
 
     run_async(body())
 
 
-def play(spec: Experiment, folder: Path, seed: int = 1) -> dict[str, Any]:
+def run_live(spec: Experiment, folder: Path, seed: int = 1) -> dict[str, Any]:
     found: dict[str, Any] = {}
 
     async def body() -> None:
-        found.update(await LivePlay(spec, seed, folder).run())
+        found.update(await LiveRun(spec, seed, folder).run())
 
     run_async(body())
     return found
 
 
-def test_an_ingress_killed_and_stopped_under_requests_breaks_no_rule(tmp_path: Path) -> None:
-    found = play(
+def test_an_ingress_killed_and_paused_under_load_violates_no_rule(tmp_path: Path) -> None:
+    found = run_live(
         experiment(
             seconds=4.0,
             fleet={"gateways": 2, "servers": 3, "cold_s": 1},
@@ -299,7 +309,7 @@
     assert exact["totals"]["gateways killed"] == 1
     assert exact["totals"]["served"] > 0.5 * exact["totals"]["first tries"]
     assert found["ingress"]["memory_mb"] > 1
-    assert any(row.get("health.healthy", 0) > 1 for row in exact["series"])  # as the ingresses show it
+    assert any(row.get("health.healthy", 0) > 1 for row in exact["series"])  # as the ingresses report it
     name = next(
         json.loads(line)["id"] for line in (tmp_path / "emulator.log").read_text().split("\n") if '"served"' in line
     )
@@ -308,41 +318,41 @@
         assert f" {step}" in text
 
 
-def test_a_process_that_dies_by_itself_is_a_crash(tmp_path: Path) -> None:
+def test_a_process_that_exits_unexpectedly_is_a_crash(tmp_path: Path) -> None:
     async def body() -> None:
-        day = LivePlay(experiment(seconds=1.0), 1, tmp_path)
-        ended = asyncio.create_task(day.run())
-        await wait_until(lambda: day.gateways and day.gateways[0].up)
-        child = day.gateways[0].process.child
+        live_run = LiveRun(experiment(seconds=1.0), 1, tmp_path)
+        ended = asyncio.create_task(live_run.run())
+        await wait_until(lambda: live_run.gateways and live_run.gateways[0].up)
+        child = live_run.gateways[0].process.child
         assert child is not None
-        child.send_signal(signal.SIGKILL)  # not by the day's doing
+        child.send_signal(signal.SIGKILL)  # not sent by the run
         exact = (await ended)["exact"]
         assert exact["broken"].get("crash") == 1
 
     run_async(body())
 
 
-def test_an_answer_that_no_server_made_is_a_break(tmp_path: Path) -> None:
+def test_a_response_that_no_server_sent_is_a_violation(tmp_path: Path) -> None:
     async def body() -> None:
-        day = LivePlay(experiment(seconds=1.0), 1, tmp_path)
-        process = Process("n0", ("127.0.0.1", 1), ("127.0.0.1", 2), tmp_path)
-        agent = Agent(lambda name: ("", 0), lambda entry: entry, lambda entries, full: None)
-        held = PendingRequest(
-            LiveGateway(day.kernel, 0, process, agent, day),
-            RequestRecord("1.1", day.experiment.classes[0], day.experiment.plans[0], 1, 1.0, 5.0),
+        live_run = LiveRun(experiment(seconds=1.0), 1, tmp_path)
+        process = IngressProcess("n0", ("127.0.0.1", 1), ("127.0.0.1", 2), tmp_path)
+        agent = FakeDiscoveryAgent(lambda name: ("", 0), lambda entry: entry, lambda entries, full: None)
+        pending_request = PendingRequest(
+            LiveGateway(live_run.kernel, 0, process, agent, live_run),
+            RequestRecord("1.1", live_run.experiment.classes[0], live_run.experiment.plans[0], 1, 1.0, 5.0),
             0.1,
             None,
         )
-        day.served(held, b"1.1 by s-00000")
-        assert day.rules.counts == {"made by a server": 1}
-        day.kernel.stop()
-        day.file.close()
+        live_run.served(pending_request, b"1.1 by s-00000")
+        assert live_run.rules.counts == {"made by a server": 1}
+        live_run.kernel.stop()
+        live_run.log_file.close()
 
     run_async(body())
 
 
-def test_an_ingress_killed_under_tls_goes_on_from_its_checkpoint(tmp_path: Path) -> None:
-    found = play(
+def test_an_ingress_killed_under_tls_recovers_from_its_checkpoint(tmp_path: Path) -> None:
+    found = run_live(
         experiment(
             seconds=3.0,
             fleet={"gateways": 2, "servers": 3, "cold_s": 1, "tls": True, "checkpoint": True},
@@ -355,15 +365,15 @@
     exact = found["exact"]
     assert exact["broken"] == {}, exact["breaks"]
     assert exact["totals"]["gateways killed"] == 2 and exact["totals"]["served"] > 10
-    words = "".join(path.read_text() for path in tmp_path.glob("n*.log"))
-    assert len(re.findall(r"checkpoint: \d+ customers and 3 servers, with \d+ records", words)) == 2
+    log_text = "".join(path.read_text() for path in tmp_path.glob("n*.log"))
+    assert len(re.findall(r"checkpoint: \d+ customers and 3 servers, with \d+ records", log_text)) == 2
     assert all(any(line == "app.checkpoint.on:1|g" for line in lines) for lines in found["ingress"]["figures"].values())
     with pytest.raises(ExperimentError, match=r"fleet\.tls: only real processes have it"):
         build_experiment({"name": "x", "fleet": {"tls": True}})
 
 
-def test_figures_are_read_and_what_is_none_is_left_out() -> None:
-    assert read_figures("app.health.healthy:3|g\napp.turned_down.quota:12|c\n\neof\napp.odd:x|c\n") == {
+def test_stats_are_parsed_and_lines_without_a_number_are_skipped() -> None:
+    assert parse_stats("app.health.healthy:3|g\napp.turned_down.quota:12|c\n\neof\napp.odd:x|c\n") == {
         "app.health.healthy": 3.0,
         "app.turned_down.quota": 12.0,
     }
