--- a/ingress/emulator/live/play.py
+++ b/ingress/emulator/live/play.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Coroutine
 from pathlib import Path
-from typing import Any, cast
+from typing import Any, NamedTuple, cast
 
 import structlog
 import uvloop
@@ -100,6 +100,20 @@
         self.agent.apply(event)
 
 
+class IngressUsage(NamedTuple):
+    """The resource usage and stats of all ingresses of a run.
+
+    Attributes:
+        cpu_s: The CPU time of all processes.
+        memory_bytes: The resident memory of the largest process.
+        stats: The lines of `show-stat` by name of the ingress.
+    """
+
+    cpu_s: float
+    memory_bytes: int
+    stats: dict[str, list[str]]
+
+
 class LiveRun(Testbed, ResponseObserver):
     """A run with real processes; checks responses to clients and, as an `AttemptObserver`, attempts at servers."""
 
@@ -160,15 +174,7 @@
                 await fake_server.open(self.tls.server if self.tls else None)
             await self.counter.open()
             await asyncio.gather(*(self._add_gateway(number) for number in range(self.experiment.fleet.gateways)))
-            self.clients = ClientPopulation(
-                self.kernel,
-                self.experiment,
-                self.network,
-                self.recorder,
-                self.gateways,
-                self.random["arrivals"],
-                self.random["front"],
-            )
+            self.clients = self._create_clients()
             self.kernel.started_at = asyncio.get_running_loop().time()
             self.run_start_unix_s = time.time()
             for gateway in self.gateways:
@@ -188,6 +194,17 @@
         finally:
             await self._close()
 
+    def _create_clients(self) -> ClientPopulation:
+        return ClientPopulation(
+            self.kernel,
+            self.experiment,
+            self.network,
+            self.recorder,
+            self.gateways,
+            self.random["arrivals"],
+            self.random["front"],
+        )
+
     async def _add_gateway(self, number: int) -> None:
         agent = FakeDiscoveryAgent(
             lambda name: self.fake_servers[name].address,
@@ -244,7 +261,27 @@
 
     async def _finish(self, own_cpu_s: float) -> dict[str, Any]:
         completed = not self.ended_early.is_set()
-        figures: dict[str, list[str]] = {}
+        usage = await self._ingress_usage()
+        await self._stop_gateways()
+        if self.counter.calls:
+            self.rules.report_violation(
+                "no talk", self.kernel.now, f"the counter received {self.counter.calls} calls; expected none"
+            )
+        if self.task_errors:
+            raise NotReadyError("; ".join(self.task_errors))
+        result = self.result(own_cpu_s)
+        result["exact"]["whole"] = completed
+        result["ingress"] = {
+            "cpu_ms_a_try": round(1000 * usage.cpu_s / max(1, self.recorder.totals["tries"]), 4),
+            "memory_mb": round(usage.memory_bytes / (1 << 20), 1),
+            "figures": usage.stats,
+        }
+        result["late_ms"] = self.kernel.delays.percentiles()
+        return result
+
+    async def _ingress_usage(self) -> IngressUsage:
+        """Return the resource usage and stats of the ingresses, which still run."""
+        stats: dict[str, list[str]] = {}
         cpu_s = 0.0
         memory_bytes = 0
         for gateway in self.gateways:
@@ -252,7 +289,11 @@
             cpu_s = cpu_s + process_cpu_s + gateway.process.killed_cpu_s
             memory_bytes = max(memory_bytes, resident_bytes)
             with contextlib.suppress(OSError):
-                figures[gateway.process.name] = (await call_admin(gateway.process.control, "show-stat")).split("\n")
+                stats[gateway.process.name] = (await call_admin(gateway.process.control, "show-stat")).split("\n")
+        return IngressUsage(cpu_s, memory_bytes, stats)
+
+    async def _stop_gateways(self) -> None:
+        """Send SIGTERM to all ingresses and check that each exits with status 0."""
         for gateway in self.gateways:
             gateway.process.send_signal(signal.SIGTERM)
         for gateway in self.gateways:
@@ -261,21 +302,6 @@
                 self.rules.report_violation(
                     "ends", self.kernel.now, f"{gateway.process.name}: exit status {status} after SIGTERM; expected 0"
                 )
-        if self.counter.calls:
-            self.rules.report_violation(
-                "no talk", self.kernel.now, f"the counter received {self.counter.calls} calls; expected none"
-            )
-        if self.task_errors:
-            raise NotReadyError("; ".join(self.task_errors))
-        result = self.result(own_cpu_s)
-        result["exact"]["whole"] = completed
-        result["ingress"] = {
-            "cpu_ms_a_try": round(1000 * cpu_s / max(1, self.recorder.totals["tries"]), 4),
-            "memory_mb": round(memory_bytes / (1 << 20), 1),
-            "figures": figures,
-        }
-        result["late_ms"] = self.kernel.delays.percentiles()
-        return result
 
     async def _close(self) -> None:
         self.kernel.stop()
--- a/ingress/emulator/live/recovery.py
+++ b/ingress/emulator/live/recovery.py
@@ -177,6 +177,26 @@
     return processes.settings()
 
 
+def _fill_store(folder: Path, entries: int) -> None:
+    """Create a store of the registry with so many entries."""
+    store = Store(folder)
+    store.write(store.version + 1, ((_registry_entry(number), 0.0) for number in range(entries)))
+    store.close()
+
+
+def _registry_entry(number: int) -> dict[str, object]:
+    return {
+        "id": f"s-{number:08x}",
+        "addr": f"127.0.{number // 250 % 250}.{number % 250 + 1}:6379",
+        "zone": "a",
+        "kind": "m",
+        "cell": number,
+        "state": "ready",
+        "weight": 1.0,
+        "started_ms": 0,
+    }
+
+
 async def measure_registry_start(entries: int) -> StartMeasurement:
     """Measure the start of the registry on a store with so many entries, up to its first complete list.
 
@@ -184,27 +204,7 @@
         TooSlowError: It exits or does not answer in time, or its list has another number of entries.
     """
     with tempfile.TemporaryDirectory() as folder:
-        store = Store(Path(folder))
-        store.write(
-            store.version + 1,
-            (
-                (
-                    {
-                        "id": f"s-{n:08x}",
-                        "addr": f"127.0.{n // 250 % 250}.{n % 250 + 1}:6379",
-                        "zone": "a",
-                        "kind": "m",
-                        "cell": n,
-                        "state": "ready",
-                        "weight": 1.0,
-                        "started_ms": 0,
-                    },
-                    0.0,
-                )
-                for n in range(entries)
-            ),
-        )
-        store.close()
+        _fill_store(Path(folder), entries)
         size = sum(path.stat().st_size for path in Path(folder).iterdir())
         port = _free_port()
         started_at = time.monotonic()
--- a/ingress/emulator/live/upgrades.py
+++ b/ingress/emulator/live/upgrades.py
@@ -265,6 +265,18 @@
     )
 
 
+async def _measure_idle_traffic(processes: IngressProcesses) -> dict[str, float]:
+    """Return the messages and bytes per second that idle processes send to each other."""
+    before = [await read_view(process) for process in processes.running]
+    started_at = time.monotonic()
+    await asyncio.sleep(IDLE_TRAFFIC_PERIOD_S)
+    after = [await read_view(process) for process in processes.running]
+    elapsed_s = time.monotonic() - started_at
+    messages = sum(later.messages - earlier.messages for later, earlier in zip(after, before, strict=True))
+    sent_bytes = sum(later.bytes - earlier.bytes for later, earlier in zip(after, before, strict=True))
+    return {"messages_s": messages / elapsed_s, "bytes_s": sent_bytes / elapsed_s}
+
+
 async def measure_chain(count: int) -> dict[str, float]:
     """Measure the seconds to settle after each kind of event in a chain, and the traffic between idle processes."""
     results: dict[str, float] = {}
@@ -272,17 +284,7 @@
         for _ in range(count):
             await processes.start()
         results["come"] = await wait_until_settled(processes)
-        before = [await read_view(process) for process in processes.running]
-        started_at = time.monotonic()
-        await asyncio.sleep(IDLE_TRAFFIC_PERIOD_S)
-        after = [await read_view(process) for process in processes.running]
-        elapsed_s = time.monotonic() - started_at
-        results["messages_s"] = (
-            sum(later.messages - earlier.messages for later, earlier in zip(after, before, strict=True)) / elapsed_s
-        )
-        results["bytes_s"] = (
-            sum(later.bytes - earlier.bytes for later, earlier in zip(after, before, strict=True)) / elapsed_s
-        )
+        results |= await _measure_idle_traffic(processes)
         stopped = processes.running[count // 2]
         stopped.send_signal(signal.SIGSTOP)
         await asyncio.sleep(PAUSE_S)
