--- a/ingress/emulator/live/authority.py
+++ b/ingress/emulator/live/authority.py
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class Pair:
+class CertificateFiles:
     """The files of a certificate and its key."""
 
     certificate: Path
@@ -53,13 +53,15 @@
         self.path = folder / f"{name}.pem"
         self.path.write_bytes(self.certificate.public_bytes(serialization.Encoding.PEM))
 
-    def sign(self, name: str, begins: float = -1.0, ends: float = 30.5, password: bytes | None = None) -> Pair:
+    def sign(
+        self, name: str, valid_from_days: float = -1.0, valid_until_days: float = 30.5, password: bytes | None = None
+    ) -> CertificateFiles:
         """Sign a certificate for a name and return its files.
 
         Args:
             name: The DNS name, which also names the files.
-            begins: The start of the validity in days from now.
-            ends: The end of the validity in days from now.
+            valid_from_days: The start of the validity in days from now.
+            valid_until_days: The end of the validity in days from now.
             password: The password that encrypts the key, if any.
         """
         key = ec.generate_private_key(ec.SECP256R1())
@@ -71,8 +73,8 @@
             .issuer_name(self.name)
             .public_key(key.public_key())
             .serial_number(x509.random_serial_number())
-            .not_valid_before(now + begins * DAY)
-            .not_valid_after(now + ends * DAY)
+            .not_valid_before(now + valid_from_days * DAY)
+            .not_valid_after(now + valid_until_days * DAY)
             .add_extension(
                 x509.SubjectAlternativeName([x509.DNSName(name), x509.IPAddress(ipaddress.ip_address("127.0.0.1"))]),
                 critical=False,
@@ -80,10 +82,10 @@
             .add_extension(x509.BasicConstraints(ca=False, path_length=None), critical=True)
             .sign(self.key, hashes.SHA256())
         )
-        pair = Pair(self.folder / f"{name}.pem", self.folder / f"{name}.key")
-        pair.certificate.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
+        files = CertificateFiles(self.folder / f"{name}.pem", self.folder / f"{name}.key")
+        files.certificate.write_bytes(certificate.public_bytes(serialization.Encoding.PEM))
         encryption = serialization.BestAvailableEncryption(password) if password else serialization.NoEncryption()
-        pair.key.write_bytes(
+        files.key.write_bytes(
             key.private_bytes(serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, encryption)
         )
-        return pair
+        return files
--- a/ingress/emulator/live/loopback.py
+++ b/ingress/emulator/live/loopback.py
@@ -14,7 +14,7 @@
 BLOCK_COUNT = 8192  # one block of addresses per run, up to 127.191.255.255
 
 
-def loopback(number: int) -> str:
+def loopback_address(number: int) -> str:
     """Return the address of a process by its number, counted from 0.
 
     Raises:
--- a/ingress/emulator/live/play.py
+++ b/ingress/emulator/live/play.py
@@ -26,7 +26,7 @@
 from ingress.emulator.live.counter import FakeCounter
 from ingress.emulator.live.ingress import IngressProcess, NotReadyError, call_admin, config_settings
 from ingress.emulator.live.kernel import RealKernel
-from ingress.emulator.live.loopback import loopback
+from ingress.emulator.live.loopback import loopback_address
 from ingress.emulator.live.servers import FakeServer, response_value
 from ingress.emulator.servers import ServerModel
 from ingress.emulator.testbed import LOAD_BALANCER_REACTION_S, SAMPLE_INTERVAL_S, Testbed, gateway_settings
@@ -213,7 +213,7 @@
         )
         await agent.open()
         agent.entries = dict(self.discovery.entries)
-        host = loopback(number)
+        host = loopback_address(number)
         process = IngressProcess(f"n{number}", (host, CLIENT_PORT), (host, CONTROL_PORT), self.folder)
         gateway = LiveGateway(self.kernel, number, process, agent, self, self.tls.client if self.tls else None)
         gateway.on_request_sent = self._request_sent
@@ -533,7 +533,7 @@
         self.logger.info(event, id=request, where=server, time=round(self.run_start_unix_s + self.kernel.now, 6))
 
 
-def play_live(experiment: Experiment, seed: int, folder: Path) -> dict[str, Any]:
+def run_live(experiment: Experiment, seed: int, folder: Path) -> dict[str, Any]:
     """Run the experiment; SIGINT or SIGTERM ends it early, and the result holds what was measured until then."""
 
     async def run() -> dict[str, Any]:
--- a/ingress/emulator/live/upgrades.py
+++ b/ingress/emulator/live/upgrades.py
@@ -27,7 +27,7 @@
 from ingress.emulator.experiment import build_experiment
 from ingress.emulator.live.clients import NOTHING
 from ingress.emulator.live.ingress import IngressProcess, call_admin, config_settings
-from ingress.emulator.live.loopback import loopback
+from ingress.emulator.live.loopback import loopback_address
 from ingress.emulator.testbed import gateway_settings
 from ingress.errors import IngressError
 
@@ -163,7 +163,7 @@
     """Prepare an ingress with a loopback address of its own and a temporary folder; kill its processes at the end."""
     served: dict[bytes, int] = {}
     loop = asyncio.get_running_loop()
-    host = loopback(0)
+    host = loopback_address(0)
     listener = await loop.create_server(lambda: EchoServer(served), host, 0)
     address = listener.sockets[0].getsockname()
     rows: list[dict[str, object]] = [
--- a/ingress/emulator/play.py
+++ b/ingress/emulator/play.py
@@ -22,9 +22,9 @@
         print(f"ingress.emulator.play: {error}", file=sys.stderr)
         return 2
     if experiment.sockets:
-        from ingress.emulator.live.play import play_live
+        from ingress.emulator.live.play import run_live
 
-        result = play_live(experiment, int(seed), Path(folder) / "logs" / f"{version}-{seed}")
+        result = run_live(experiment, int(seed), Path(folder) / "logs" / f"{version}-{seed}")
     else:
         from ingress.emulator.world import Simulation, factory_builder
 
--- a/tests/test_net_tls.py
+++ b/tests/test_net_tls.py
@@ -16,7 +16,7 @@
 
 from ingress.configuration.document import ConfigError, read_config
 from ingress.decisions.endpoint import Outcome
-from ingress.emulator.live.authority import Authority, Pair
+from ingress.emulator.live.authority import Authority, CertificateFiles
 from ingress.protocols.resp import MAX_VALUE_BYTES
 from ingress.runtime.tls import read_tls
 from tests.peers import (
@@ -48,7 +48,7 @@
     return Authority(tmp_path / "pki")
 
 
-def trusting(authority: Authority, pair: Pair | None = None) -> ssl.SSLContext:
+def trusting(authority: Authority, pair: CertificateFiles | None = None) -> ssl.SSLContext:
     context = ssl.create_default_context(cafile=str(authority.path))
     if pair is not None:
         context.load_cert_chain(pair.certificate, pair.key)
@@ -62,7 +62,7 @@
 class SecurePeer(Peer):
     """An endpoint behind TLS that answers each command with its id, or with `answer`."""
 
-    def __init__(self, pair: Pair, answer: bytes | None = None) -> None:
+    def __init__(self, pair: CertificateFiles, answer: bytes | None = None) -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             while True:
                 words = await read_command(reader)
@@ -174,7 +174,9 @@
 def test_endpoint_that_fails_authentication_gets_no_request(authority: Authority, fault: str) -> None:
     async def body() -> None:
         signer = Authority(authority.folder.parent / "other") if fault == "authority" else authority
-        pair = signer.sign("s1", begins=-9.0, ends=-1.0) if fault == "expired" else signer.sign("s1")
+        pair = (
+            signer.sign("s1", valid_from_days=-9.0, valid_until_days=-1.0) if fault == "expired" else signer.sign("s1")
+        )
         peer = SecurePeer(pair)
         async with peer:
             if fault == "plain":
--- a/tests/test_size.py
+++ b/tests/test_size.py
@@ -26,7 +26,7 @@
 from ingress.decisions.subsetting import SUBSET_SIZE
 from ingress.discovery.client import DiscoveryClient, EndpointList
 from ingress.emulator.experiment import build_experiment
-from ingress.emulator.live.loopback import loopback
+from ingress.emulator.live.loopback import loopback_address
 from ingress.observability.log_report import LogReport, as_text
 from ingress.observability.poller import PolledIngress, PollState
 from ingress.observability.summary import summarize
@@ -253,7 +253,7 @@
         {"name": "many", "sockets": True, "fleet": {"gateways": GATEWAYS, "servers": SERVERS}}
     )
     assert (experiment.fleet.gateways, experiment.fleet.servers) == (GATEWAYS, SERVERS)
-    addresses = [ipaddress.IPv4Address(loopback(number)) for number in range(1024)]
+    addresses = [ipaddress.IPv4Address(loopback_address(number)) for number in range(1024)]
     assert len(set(addresses)) == 1024 and all(address.is_loopback for address in addresses)
 
 
