--- a/ingress/configuration/applier.py
+++ b/ingress/configuration/applier.py
@@ -32,7 +32,20 @@
 
 
 class ConfigurableParts(Struct, frozen=True):
-    """The components of a process that a new configuration changes."""
+    """The components of a process that a new configuration changes.
+
+    Attributes:
+        clients: The server for client connections.
+        requests: The handler of the requests in flight.
+        pool: The pool of connections to endpoints.
+        discovery: The client that polls the endpoint list.
+        counter: The shared counter.
+        budget: The memory budget.
+        memory_monitor: The monitor that logs while the memory limit is exceeded.
+        metrics: The metrics of the process.
+        feed: Passes an event to the gateway.
+        resize_process_group: Applies changed connection limits to the share of this process in its process group.
+    """
 
     clients: ClientServer
     requests: RequestHandler
@@ -47,10 +60,14 @@
 
 
 def request_limits(config: Config) -> RequestLimits:
-    """Return the request limits of a configuration; a hedge counts as a second attempt in flight."""
+    """Return the request limits; with hedging, a request may have two attempts in flight, otherwise one."""
     settings = config.settings
     concurrent_attempts = 2 if settings.hedging_allowed else 1
-    return RequestLimits(config.max_open_requests, settings.max_attempts, concurrent_attempts)
+    return RequestLimits(
+        max_in_flight=config.max_open_requests,
+        max_attempts=settings.max_attempts,
+        max_concurrent_attempts=concurrent_attempts,
+    )
 
 
 class ConfigApplier:
@@ -59,7 +76,7 @@
     def __init__(self, parts: ConfigurableParts) -> None:
         self.parts = parts
 
-    def start(self, config: Config) -> None:
+    def apply_initial(self, config: Config) -> None:
         """Apply the settings that the components do not receive through their constructors."""
         timeout = config.settings.counter_timeout
         self.set_tls(config)
@@ -72,7 +89,7 @@
         return PreparedConfig(config, command_reader, counter_client)
 
     def commit(self, prepared: PreparedConfig, previous: Config) -> None:
-        """Apply a prepared configuration to all components; no event is handled in between."""
+        """Apply a prepared configuration to all components, without returning to the event loop in between."""
         config = prepared.config
         settings = config.settings
         parts = self.parts
@@ -83,9 +100,9 @@
         self.set_tls(config)
         parts.pool.set_time_limits(config.idle_timeout, settings.drain_grace)
         parts.budget.limit = config.memory_limit
-        parts.clients.shares.guaranteed = config.client_connection_limit
+        parts.clients.shares.guaranteed = config.guaranteed_connections
         parts.resize_process_group()
-        parts.memory_monitor.check()
+        parts.memory_monitor.check()  # logs at once if the new memory limit is exceeded
         parts.clients.acceptor.set_backlog(config.max_client_connections)
         parts.discovery.busy_pause = initial_busy_pause(settings)
         if config.discovery != previous.discovery:
--- a/ingress/configuration/document.py
+++ b/ingress/configuration/document.py
@@ -61,7 +61,7 @@
     """The configuration of one process; durations are in seconds.
 
     Attributes:
-        client_connection_limit: The number of connections allowed from any one client address.
+        guaranteed_connections: The number of connections that any one client address may always have open.
         initial_endpoints: The endpoint list that is used until discovery answers.
         idle_timeout: The time after which an endpoint closes an idle connection.
         memory_limit: The memory limit in bytes.
@@ -78,7 +78,7 @@
     seed: int
     max_client_connections: int
     max_endpoint_connections: int
-    client_connection_limit: int
+    guaranteed_connections: int
     initial_endpoints: EndpointList
     settings: Settings
     connect_timeout: float
@@ -178,7 +178,7 @@
         seed=int(source["seed"], 16),
         max_client_connections=max_connections,
         max_endpoint_connections=max_connections,
-        client_connection_limit=sockets // MIN_ADDRESSES_TO_FILL_DESCRIPTORS,
+        guaranteed_connections=sockets // MIN_ADDRESSES_TO_FILL_DESCRIPTORS,
         initial_endpoints=initial_endpoints,
         settings=settings,
         connect_timeout=float(limits.get("connect-timeout-s", DEFAULT_CONNECT_TIMEOUT_S)),
--- a/ingress/ingress.py
+++ b/ingress/ingress.py
@@ -82,7 +82,7 @@
         self.admin_server: AdminServer | None = None
         if config.admin is not None:
             self.admin_server = AdminServer(config.admin, self.admin_commands.answer, self.clock)
-        self.applier.start(config)
+        self.applier.apply_initial(config)
 
     def _make_pool(self, config: Config) -> ConnectionPool:
         settings = PoolSettings(
@@ -108,7 +108,7 @@
         settings = ServerSettings(
             address=config.listen,
             max_connections=config.max_client_connections,
-            guaranteed_connections=config.client_connection_limit,
+            guaranteed_connections=config.guaranteed_connections,
             inherited_socket=self.received_handover.listener if self.received_handover else None,
         )
         return ClientServer(settings, CommandReader(config.settings), self.requests, self.clock, self.budget)
