--- a/ingress/decisions/attempt_outcomes.py
+++ b/ingress/decisions/attempt_outcomes.py
@@ -9,16 +9,18 @@
 from ingress.decisions.events import AttemptEnded
 from ingress.decisions.settings import Settings
 
-# An attempt without a response is held against its endpoint only if it was in flight for at least this ratio of the
-# longest latency objective.
-MIN_SILENCE_RATIO = 0.5
-NO_RESPONSE_OUTCOMES = frozenset((Outcome.TIMEOUT, Outcome.CANCELLED))
+# An attempt without a response counts as a failure of its endpoint only if it was in flight for at least this ratio of
+# the longest latency objective, less the timer resolution.
+MIN_TIME_TO_RESPOND_RATIO = 0.5
+# Outcomes of attempts that may have reached the endpoint, but ended before it had responded.
+UNANSWERED_OUTCOMES = frozenset((Outcome.TIMEOUT, Outcome.CANCELLED))
 
 
 class OutcomeRecorder:
     """Adds outcomes to the load, latency and health of endpoints.
 
-    Outcomes of an earlier incarnation of an endpoint do not affect the health of the current one.
+    Outcomes of an earlier incarnation of an endpoint do not affect the health of the current one, but its latency and
+    concurrency limit.
     """
 
     def __init__(self, settings: Settings, cluster: Cluster) -> None:
@@ -35,7 +37,8 @@
         objective = request_class.latency_objective
         endpoint.record_latency(now, latency, self._cluster.latencies.mean_latency(request_class), objective)
         if now - latency >= endpoint.tracked_since:
-            self._cluster.outliers.record_success(endpoint.health, now, latency > objective)
+            is_late = latency > objective
+            self._cluster.outliers.record_success(endpoint.health, now, is_late)
         self._cluster.record_response(endpoint, request, latency, now)
 
     def record_failure(
@@ -43,9 +46,9 @@
     ) -> None:
         """Record an attempt that failed at its endpoint.
 
-        A timeout also counts as a slow response, and a rejection as overload.  Where there was no response, the failure
-        is held against the endpoint only if it had time to respond: a client that waits for a moment only, or that
-        disconnects, gives no information about the endpoint.
+        A timeout also counts as a slow response, and a rejection at high latency as overload.  Where there was no
+        response, the attempt counts as a failure of the endpoint only if it had time to respond: a client that waits
+        for a moment only, or that disconnects, gives no information about the endpoint.
 
         Args:
             now: The current time in seconds.
@@ -59,15 +62,16 @@
         latencies = self._cluster.latencies
         silent = endpoint.last_response_at < sent_at
         if outcome is Outcome.TIMEOUT:
+            # The timeout is due at the deadline; if it comes much later, this process got no CPU time.
             outliers.record_timer_delay(now, now - request.deadline)
             objective = request.request_class.latency_objective
             mean = latencies.mean_latency(request.request_class)
             endpoint.record_latency(now, max(event.latency, objective), mean, objective)
         elif outcome is Outcome.REJECTED:
             endpoint.record_rejection(now, latencies.longest_objective)
-        had_time = now - sent_at >= MIN_SILENCE_RATIO * latencies.longest_objective - self._timer_resolution
-        if sent_at < endpoint.tracked_since or (outcome in NO_RESPONSE_OUTCOMES and not had_time):
+        had_time = now - sent_at >= MIN_TIME_TO_RESPOND_RATIO * latencies.longest_objective - self._timer_resolution
+        if sent_at < endpoint.tracked_since or (outcome in UNANSWERED_OUTCOMES and not had_time):
             return
-        if outcome not in NO_RESPONSE_OUTCOMES and outcome is not Outcome.CONNECT_FAILED:
+        if outcome not in UNANSWERED_OUTCOMES and outcome is not Outcome.CONNECT_FAILED:
             endpoint.last_response_at = now
         outliers.record_failure(endpoint.health, now, outcome, silent)
--- a/ingress/decisions/endpoint_state.py
+++ b/ingress/decisions/endpoint_state.py
@@ -11,14 +11,17 @@
 from ingress.decisions.settings import Settings
 from ingress.decisions.token_bucket import TokenBucket
 
-TARGET_LATENCY_RATIO = 0.18  # a share of the latency objective: above this mean, too many attempts are in flight
-TARGET_UTILIZATION = 0.55  # a share of the concurrency limits: above it, load is shed
+# The mean latency, as a share of the latency objective, above which the concurrency limit is reduced, because too many
+# attempts are in flight.
+TARGET_LATENCY_RATIO = 0.18
+TARGET_UTILIZATION = 0.55  # the share of the summed concurrency limits in use above which load is shed
 INITIAL_CONCURRENCY_LIMIT = 1.0  # the number of attempts allowed before the first response
 MIN_CONCURRENCY_LIMIT = 1.0  # the number of attempts that is always allowed
 LIMIT_REDUCTION_FACTOR = 0.85
-UNRESPONSIVE_RATIO = 4.0  # a multiple of the mean latency: an endpoint silent for longer is unresponsive
-OVERLOAD_PAUSE_RATIO = 0.25  # a share of the longest latency objective
-MIN_LATENCY_S = 1e-6
+UNRESPONSIVE_RATIO = 4.0  # a multiple of the mean latency: an endpoint without a response for longer is unresponsive
+# The time without attempts after a rejection at high latency, as a share of the longest latency objective.
+OVERLOAD_PAUSE_RATIO = 0.25
+MIN_LATENCY_S = 1e-6  # avoids a division by zero
 
 
 class AttemptId(NamedTuple):
@@ -51,13 +54,17 @@
 class TrackedEndpoint:
     """The state of one endpoint.
 
+    An incarnation is one run of the endpoint's process; a later start time in the endpoint list indicates a new one.
+
     Attributes:
-        info: The entry in the endpoint list.
+        info: The entry of the endpoint in the endpoint list.
         ready: Whether the endpoint is listed as ready.
         preferred: Whether the endpoint is in the subset that this gateway prefers.
-        totals: The totals that include this endpoint; a private instance while the endpoint is not ready.
-        subset_round: The round of subsets for which `subset_position` was computed.
-        subset_position: The sort key in the order of endpoints that the gateways of a round divide among themselves.
+        totals: The totals of `EndpointSet`; an instance that nothing reads while the endpoint is not ready, so that
+            updates need no condition.
+        subset_round: The round (a group of gateways with consecutive indexes, see `Subset.choose`) for which
+            `subset_position` was computed; -1 before that.
+        subset_position: The sort key of the endpoint in the order of endpoints for that round.
         in_flight: The attempts in flight and the time at which each was sent, oldest first.
         health: The health of the endpoint.
         tracked_since: The time at which tracking of this incarnation began.
@@ -66,7 +73,8 @@
         latency_ratio: The running mean of the latency as a share of the latency objective.
         limit_reduced_at: The time of the last reduction of the concurrency limit.
         limit_was_reduced: Whether the concurrency limit was ever reduced for this incarnation.
-        last_response_at: The time of the last sign of life.
+        last_response_at: The time of the last response (also an error or a rejection), connection reset or timeout;
+            initially `tracked_since`.
         overloaded_until: The time until which no attempts are sent, because a rejection came while latency was high.
         slow_start_budget: The token bucket of work, in mean requests, that may be sent while the endpoint warms up.
     """
@@ -90,7 +98,7 @@
             health: The health of the new incarnation.
             slow_start_level: The initial level of the slow start budget, drawn uniformly from 0 to 1 mean requests.
                 Budgets fill slowly; with the same initial level, those of all gateways would reach one complete
-                request at the same time.
+                request at the same time, and all gateways would send their first request to the endpoint then.
         """
         self.relative_latency = 1.0
         self.relative_latency_at = now
@@ -102,6 +110,7 @@
         self.tracked_since = now
         self.last_response_at = now
         self.overloaded_until = now
+        # `SlowStart` sets the rate before each check of the budget.
         self.slow_start_budget = TokenBucket(0.0, 1.0, slow_start_level, now)
 
     @property
@@ -135,7 +144,7 @@
         self.slow_start_budget.level = state.slow_start_level
 
     def warming_up(self, now: float, settings: Settings) -> bool:
-        """Return whether the endpoint started less than the slow start duration ago."""
+        """Return whether the endpoint started less than the slow start duration ago; a start time of 0 is long ago."""
         return self.info.started_at > 0.0 and now < self.info.started_at + settings.slow_start_duration
 
     def attempt_started(self, attempt_id: AttemptId, now: float) -> None:
@@ -174,12 +183,18 @@
         if self.latency_ratio > TARGET_LATENCY_RATIO:
             self.reduce_limit(now, latency)
             return
+        # The limit counts as used from half of the target utilization on.  One is added for the attempt of this
+        # latency, which is no longer among those in flight.
         limit_is_used = len(self.in_flight) + 1 >= TARGET_UTILIZATION / 2 * self.concurrency_limit
         if latency < TARGET_LATENCY_RATIO * objective and limit_is_used:
             self.concurrency_limit += 1.0 / max(self.concurrency_limit, 1.0) if self.limit_was_reduced else 1.0
 
     def reduce_limit(self, now: float, min_interval: float) -> None:
-        """Reduce the concurrency limit, unless it was reduced less than `min_interval` seconds ago."""
+        """Reduce the concurrency limit, unless it was reduced less than `min_interval` seconds ago.
+
+        The new limit is `LIMIT_REDUCTION_FACTOR` times the part of the limit that is used, which is the number of
+        attempts in flight plus one if that is less than the limit; it is at least `MIN_CONCURRENCY_LIMIT`.
+        """
         if now - self.limit_reduced_at < min_interval:
             return
         used_limit = min(self.concurrency_limit, len(self.in_flight) + 1.0)
@@ -198,9 +213,11 @@
             self.overloaded_until = now + longest_objective * OVERLOAD_PAUSE_RATIO
 
     def unresponsive(self, now: float, mean_latency: float) -> bool:
-        """Return whether attempts are in flight and there was no sign of life for several mean latencies.
+        """Return whether attempts are in flight and the endpoint has not responded for several mean latencies.
 
-        Guards against an endpoint that died silently and looks idle until the first deadline passes.
+        The oldest attempt must have been sent, and `last_response_at` updated, more than `UNRESPONSIVE_RATIO` mean
+        latencies ago.  Without this check, an endpoint that stopped answering without closing its connections would
+        look idle and get new attempts until the first deadline passes.
         """
         if not self.in_flight:
             return False
--- a/ingress/ingressctl/logs.py
+++ b/ingress/ingressctl/logs.py
@@ -35,7 +35,7 @@
     if result["window"] is None:
         exit_with_error(
             Status.INVALID_INPUT,
-            "no line of these logs could be used: were they written with EDGE_LOG=json, in this time window?",
+            "the logs contain no valid line in the time window; they must be written with EDGE_LOG=json or requests",
         )
 
 
@@ -59,9 +59,10 @@
 def quotas(logs: tuple[Path, ...], config: Path, most_requests: int, as_json: bool) -> None:
     """Report the units that a fleet forwarded over its customers' quotas, from the JSON logs LOGS of its ingresses.
 
-    Lists them by plan and by customer, with the number of ingresses, and by whether they belong to the first request
-    of a customer at an ingress. The logs must be written with EDGE_LOG=requests. Memory use grows with the logs,
-    because requests are sorted by time. Files and folders are given as for explain.
+    Lists the units by plan and by customer, with the number of ingresses involved, and separates the first request of
+    a customer at an ingress since the start of its process from later ones. The logs must be written with
+    EDGE_LOG=requests. Memory use grows with the logs, because requests are sorted by time. Files and folders are given
+    as for explain.
     """
     from ingress.configuration.document import ConfigError, load_config
     from ingress.observability.quota_replay import report_on_quotas
@@ -76,5 +77,7 @@
     click.echo(json.dumps(result.as_plain_data()) if as_json else "\n".join(as_text(result)))
     if not result.requests:
         exit_with_error(
-            Status.INVALID_INPUT, "no request of these logs could be used: were they written with EDGE_LOG=requests?"
+            Status.INVALID_INPUT,
+            "the logs contain no request with a plan and class of --settings; "
+            "they must be written with EDGE_LOG=requests",
         )
--- a/ingress/observability/quota_text.py
+++ b/ingress/observability/quota_text.py
@@ -1,4 +1,8 @@
-"""Format the report on quotas as text."""
+"""Format the report on quotas as text.
+
+In the printed text, requests "sent on" are the forwarded ones, those "beyond" were over the quota, and those "refused"
+were rejected.  "Worth asked inside" is the weight within the quota, and "repeats" are requests marked as retries.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 from ingress.observability.quota_replay import CustomerReport, Origin, PlanReport, QuotaReport, Tally
 
 MAX_PRINTED_INGRESSES = 10  # per customer
-DECIMAL_PLACES = 6
+DECIMAL_PLACES = 6  # in units, costs and weights
 
 
 def as_text(report: QuotaReport) -> Iterator[str]:
@@ -57,14 +61,17 @@
 
 
 def _customer_as_text(customer: CustomerReport) -> Iterator[str]:
-    used = customer.ingresses
-    names = ", ".join(used[:MAX_PRINTED_INGRESSES]) + (", ..." if len(used) > MAX_PRINTED_INGRESSES else "")
+    """Yield the lines on one customer; each ingress is one gateway, so that `gateway_count` counts ingresses."""
+    forwarding_ingresses = customer.ingresses
+    names = ", ".join(forwarding_ingresses[:MAX_PRINTED_INGRESSES])
+    if len(forwarding_ingresses) > MAX_PRINTED_INGRESSES:
+        names += ", ..."
     yield (
         f"customer {customer.customer} ({customer.plan}): beyond {_tally(customer.over_quota)} of "
-        f"{_tally(customer.forwarded)} sent on, by {len(used)} ingresses, "
+        f"{_tally(customer.forwarded)} sent on, by {len(forwarding_ingresses)} ingresses, "
         f"of {customer.gateway_count} that it may use: {names}"
     )
-    yield "  beyond: " + ", ".join(f"{one.id} at {one.ingress}" for one in customer.examples)
+    yield "  beyond: " + ", ".join(f"{example.id} at {example.ingress}" for example in customer.examples)
 
 
 def _tally(tally: Tally) -> str:
@@ -72,4 +79,5 @@
 
 
 def _number(value: float) -> str:
+    """Format a number with thousands separators and at most 10 significant digits."""
     return f"{round(value, DECIMAL_PLACES):,.10g}"
