--- a/ingress/emulator/listing.py
+++ b/ingress/emulator/listing.py
@@ -14,10 +14,10 @@
 
 
 class Listener(Protocol):
-    """A gateway as discovery sees it."""
+    """The interface through which a gateway receives endpoint list messages."""
 
     def endpoints_changed(self, event: EndpointsChanged) -> None:
-        """Receive a message of discovery."""
+        """Receive a version of the endpoint list, or the changes since the previous version."""
 
 
 class DiscoveryModel:
@@ -33,10 +33,10 @@
         listeners: The gateways, by number.
     """
 
-    def __init__(self, kernel: Clock, spec: DiscoveryDelays, draws: RandomStream, entries: Iterable[Endpoint]) -> None:
+    def __init__(self, kernel: Clock, spec: DiscoveryDelays, random: RandomStream, entries: Iterable[Endpoint]) -> None:
         self.kernel = kernel
         self.spec = spec
-        self.random = draws
+        self.random = random
         self.entries = {entry.id: entry for entry in entries}
         self.version = 1
         self.down_until = 0.0
@@ -46,20 +46,20 @@
         self._last_delivery: dict[int, float] = {}
 
     def schedule_update(self, delay: tuple[float, float], entry: Endpoint, is_valid: Callable[[], bool]) -> None:
-        """Publish an entry after a delay drawn from a range (s), if `is_valid` returns true by then."""
-        self.kernel.after(self.random.uniform(*delay), self._publish, entry, is_valid)
+        """Publish an entry after a delay drawn from a range (s) and any outage, if `is_valid` then returns true."""
+        self.kernel.after(self.random.uniform(*delay), self._queue_change, entry, is_valid)
 
-    def _publish(self, entry: Endpoint, is_valid: Callable[[], bool]) -> None:
+    def _queue_change(self, entry: Endpoint, is_valid: Callable[[], bool]) -> None:
         if self.kernel.now < self.down_until:
-            self.kernel.at(self.down_until, self._publish, entry, is_valid)
+            self.kernel.at(self.down_until, self._queue_change, entry, is_valid)
             return
         if not is_valid():
             return
         if not self._pending_entries:
-            self.kernel.after(VERSION_INTERVAL_S, self._flush)
+            self.kernel.after(VERSION_INTERVAL_S, self._publish_version)
         self._pending_entries[entry.id] = entry
 
-    def _flush(self) -> None:
+    def _publish_version(self) -> None:
         changes = tuple(self._pending_entries.values())
         self._pending_entries = {}
         self.version += 1
@@ -71,10 +71,10 @@
         for number, listener in enumerate(self.listeners):
             self._deliver(number, listener, EndpointsChanged(EndpointListKind.UPDATE, changes, self.version))
 
-    def request_list(self, number: int, listener: Listener) -> None:
+    def deliver_complete_list(self, number: int, listener: Listener) -> None:
         """Deliver the complete list to a gateway that has started, once discovery is available."""
         if self.kernel.now < self.down_until:
-            self.kernel.at(self.down_until, self.request_list, number, listener)
+            self.kernel.at(self.down_until, self.deliver_complete_list, number, listener)
             return
         self._deliver(
             number, listener, EndpointsChanged(EndpointListKind.REPLACE, tuple(self.entries.values()), self.version)
--- a/ingress/emulator/oracle.py
+++ b/ingress/emulator/oracle.py
@@ -28,8 +28,8 @@
         servers: The servers, by ID.
         mean_work: The mean work of a request, in seconds on a core of nominal speed.
         longest_objective: The longest latency objective (s).
-        true_open_time_at: When the estimate was last updated (s).
-        true_open_time: The latest estimate.
+        congestion_level_updated_at: When `congestion_level` was last updated (s).
+        congestion_level: The latest estimate, as `mean_open_time` returns it.
     """
 
     def __init__(self, servers: Mapping[str, ServerModel], mean_work: float, longest_objective: float) -> None:
@@ -37,27 +37,35 @@
         self.servers = servers
         self.mean_work = mean_work
         self.longest_objective = longest_objective
-        self.true_open_time_at = LONG_AGO_S
-        self.true_open_time = 0.0
+        self.congestion_level_updated_at = LONG_AGO_S
+        self.congestion_level = 0.0
 
     def mean_open_time(self, now: float) -> float:
-        """Return the mean response time of the servers, weighted by their pace, on the scale of the estimate."""
-        super().mean_open_time(now)
-        if now - self.true_open_time_at >= UPDATE_INTERVAL_S:
-            objectives = self._mean_response_time() / self.longest_objective
-            ratio = (objectives - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START)
-            self.true_open_time = CONGESTION_START_RATIO + ratio * (CONGESTION_FULL_RATIO - CONGESTION_START_RATIO)
-            self.true_open_time_at = now
-        return self.true_open_time
+        """Return the true mean response time, mapped to the scale of the estimate.
+
+        Each server is weighted by its pace times its cores.  SHEDDING_START becomes CONGESTION_START_RATIO, and
+        SHEDDING_FULL becomes CONGESTION_FULL_RATIO.
+        """
+        super().mean_open_time(now)  # Only keeps the inherited state current, e.g. drops expired attempts.
+        if now - self.congestion_level_updated_at >= UPDATE_INTERVAL_S:
+            response_ratio = self._mean_response_time() / self.longest_objective
+            congestion_excess = (response_ratio - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START)
+            self.congestion_level = CONGESTION_START_RATIO + congestion_excess * (
+                CONGESTION_FULL_RATIO - CONGESTION_START_RATIO
+            )
+            self.congestion_level_updated_at = now
+        return self.congestion_level
 
     def _mean_response_time(self) -> float:
-        waits = 0.0
-        paces = 0.0
+        weighted_response_time = 0.0
+        total_pace = 0.0
         for server in self.servers.values():
             if server.is_running and server.is_reachable and not server.is_draining:
-                waits += self.mean_work * max(1.0, (server.busy + len(server.queue)) / server.cores) * server.cores
-                paces += server.pace() * server.cores
-        return waits / max(paces, 1e-9)
+                weighted_response_time += (
+                    self.mean_work * max(1.0, (server.busy + len(server.queue)) / server.cores) * server.cores
+                )
+                total_pace += server.pace() * server.cores
+        return weighted_response_time / max(total_pace, 1e-9)
 
 
 def oracle_gateway_factory(servers: Mapping[str, ServerModel], mean_work: float) -> GatewayFactory:
--- a/ingress/emulator/play.py
+++ b/ingress/emulator/play.py
@@ -26,9 +26,10 @@
 
         result = run_live(experiment, int(seed), Path(folder) / "logs" / f"{version}-{seed}")
     else:
-        from ingress.emulator.world import Simulation, factory_builder
+        from ingress.emulator.world import Simulation, make_gateway_factory_builder
 
-        simulation = Simulation(experiment, int(seed), factory_builder=factory_builder(version, experiment))
+        factory_builder = make_gateway_factory_builder(version, experiment)
+        simulation = Simulation(experiment, int(seed), factory_builder=factory_builder)
         signal.signal(signal.SIGINT, lambda *_: simulation.interrupt())
         result = simulation.run()
     print(json.dumps(result))
--- a/ingress/emulator/world.py
+++ b/ingress/emulator/world.py
@@ -17,10 +17,10 @@
 from ingress.emulator.servers import ServerModel
 from ingress.emulator.testbed import LOAD_BALANCER_REACTION_S, SAMPLE_INTERVAL_S, Testbed, gateway_settings
 
-MAX_FIRST_LIST_DELAY_S = 0.4  # From the start of a gateway to the first response of discovery.
-FINAL_RESPONSES_S = 1.0  # For the last responses at the end of a run, in addition to the longest deadline.
+MAX_FIRST_LIST_DELAY_S = 0.4  # A restarted gateway requests its first endpoint list within this time.
+EXTRA_RUN_TIME_S = 1.0  # Simulated after the last deadline, for the last responses.
 SAMPLED_GATEWAYS = 20  # The approximate number of gateways whose view of the servers' health is sampled.
-SEED_RANGE = 2**53  # The integers that a float represents exactly.
+SEED_LIMIT = 2**53  # Seeds are below this; a float represents all of these integers exactly.
 
 
 def make_gateway(settings: Settings, seed: int) -> DecisionModule:
@@ -28,10 +28,10 @@
     return Gateway(settings, seed)
 
 
-def factory_builder(version: str, experiment: Experiment) -> Callable[[Testbed], GatewayFactory] | None:
-    """Return what builds the gateway factory of a version of the experiment, None for the default factory.
+def make_gateway_factory_builder(version: str, experiment: Experiment) -> Callable[[Testbed], GatewayFactory] | None:
+    """Return a function that builds the gateway factory from the testbed if the version has `sees` set, otherwise None.
 
-    The gateways of a version that sees the true state of the servers need the testbed.
+    The gateways of such a version estimate congestion by the true state of the servers, which the testbed contains.
     """
     if not any(candidate.name == version and candidate.sees for candidate in experiment.versions):
         return None
@@ -104,7 +104,7 @@
         """Run to the end or until `interrupt`, and return the result as plain data."""
         started_at = time.process_time()
         longest_deadline = max(kind.deadline_s for kind in self.experiment.classes)
-        self.kernel.run(self.experiment.seconds + longest_deadline + FINAL_RESPONSES_S)
+        self.kernel.run(self.experiment.seconds + longest_deadline + EXTRA_RUN_TIME_S)
         return self.result(time.process_time() - started_at)
 
     def interrupt(self) -> None:
@@ -120,11 +120,17 @@
     def _start_process(self, gateway: GatewayHost) -> None:
         gateway.start(
             gateway_settings(self.experiment, gateway.number, self.plans),
-            int(self.random["seeds"].uniform(0, SEED_RANGE)),
+            int(self.random["seeds"].uniform(0, SEED_LIMIT)),
         )
 
     def kill_gateway(self, number: int, drained: bool = False) -> None:
-        """End the process of a gateway at once; its pending requests get no answer."""
+        """End the process of a gateway at once; its pending requests get no answer.
+
+        Args:
+            number: The number of the gateway.
+            drained: Whether the gateway was drained. If so, each of its unanswered requests that is not exempt is a
+                violation, and the load balancer, which withdraws a gateway that drains, is not notified again.
+        """
         gateway = self.gateways[number]
         if not gateway.up:
             return
@@ -152,12 +158,15 @@
             return
         self._start_process(gateway)
         self.kernel.after(
-            self.random["listing"].uniform(0, MAX_FIRST_LIST_DELAY_S), self.discovery.request_list, number, gateway
+            self.random["listing"].uniform(0, MAX_FIRST_LIST_DELAY_S),
+            self.discovery.deliver_complete_list,
+            number,
+            gateway,
         )
         self.clients.gateway_up(number)
 
     def pause_gateway(self, number: int, paused: bool) -> None:
-        """Stop the process of a gateway, or continue it."""
+        """Suspend the process of a gateway as SIGSTOP does, or resume it as SIGCONT does."""
         gateway = self.gateways[number]
         if gateway.up and paused is not gateway.paused:
             if paused:
@@ -166,7 +175,7 @@
                 gateway.resume()
 
     def add_load_burst(self, start: float, end: float, factor: float, customers: int) -> None:
-        """Multiply the rate of customers during a time."""
+        """Multiply the request rate of all customers, or of the first ones, from `start` to `end` (s)."""
         self.clients.add_burst(start, end, factor, customers)
 
     def change_plans(self, plans: list[PlanKind]) -> None:
--- a/ingress/ingressctl/experiments.py
+++ b/ingress/ingressctl/experiments.py
@@ -204,9 +204,9 @@
 def report(folder: Path, follow: str | None) -> None:
     """Write the report on the results in FOLDER: an HTML page and its plots, in the same folder."""
     if follow is not None:
-        from ingress.emulator.follow import follow as follow_request
+        from ingress.emulator.follow import request_trace
 
-        lines = list(follow_request(folder, follow))
+        lines = list(request_trace(folder, follow))
         if not lines:
             exit_with_error(Status.INVALID_INPUT, f"no line in {folder} mentions request {follow}")
         for line in lines:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -27,7 +27,7 @@
 from ingress.emulator.oracle import SHEDDING_FULL, SHEDDING_START
 from ingress.emulator.rules import RequestRecord, RuleChecker
 from ingress.emulator.shrink import shrink, to_toml
-from ingress.emulator.world import Simulation, factory_builder
+from ingress.emulator.world import Simulation, make_gateway_factory_builder
 
 ROOT = Path(__file__).resolve().parent.parent
 PLANS = [
@@ -246,8 +246,8 @@
         {"kind": "burst", "at": 1, "lasts": 2, "factor": 6.0},
         versions=[{"name": "now"}, {"name": "sees", "sees": True}],
     )
-    assert factory_builder("now", spec) is None
-    simulation = Simulation(spec, 1, factory_builder=factory_builder("sees", spec))
+    assert make_gateway_factory_builder("now", spec) is None
+    simulation = Simulation(spec, 1, factory_builder=make_gateway_factory_builder("sees", spec))
     gateway = simulation.gateways[0].decisions
     assert isinstance(gateway, Gateway)
     latency_objective = 0.6
@@ -264,7 +264,7 @@
         assert gateway.cluster.load_shedder.saturation(now) == pytest.approx(
             (objectives - SHEDDING_START) / (SHEDDING_FULL - SHEDDING_START)
         )
-    found = Simulation(spec, 1, factory_builder=factory_builder("sees", spec)).run()["exact"]
+    found = Simulation(spec, 1, factory_builder=make_gateway_factory_builder("sees", spec)).run()["exact"]
     assert found["broken"] == {} and found["totals"] != run_exact(spec, 1)["totals"]
 
 
--- a/tests/test_emulator_live.py
+++ b/tests/test_emulator_live.py
@@ -23,7 +23,7 @@
 from ingress.discovery.http import HttpConnection
 from ingress.emulator.clients import ClientPopulation
 from ingress.emulator.experiment import Experiment, ExperimentError, build_experiment
-from ingress.emulator.follow import follow
+from ingress.emulator.follow import request_trace
 from ingress.emulator.gateways import PendingRequest
 from ingress.emulator.kernel import random_streams
 from ingress.emulator.live.agent import FakeDiscoveryAgent
@@ -313,7 +313,7 @@
     name = next(
         json.loads(line)["id"] for line in (tmp_path / "emulator.log").read_text().split("\n") if '"served"' in line
     )
-    text = "\n".join(follow(tmp_path.parent, name))
+    text = "\n".join(request_trace(tmp_path.parent, name))
     for step in ("asks", "gets", "answers ok", "succeeded", "served"):
         assert f" {step}" in text
 
