--- a/ingress/simulator_adapter.py
+++ b/ingress/simulator_adapter.py
@@ -305,7 +305,7 @@
             if batch is None:
                 continue
             replies = adapter.handle_batch(*batch)
-        except (MalformedInputError, KeyError, TypeError, ValueError) as error:
+        except MalformedInputError as error:
             raise MalformedInputError(f"line {line_number}: {error}") from error
         for reply in replies:
             sink.write(json.dumps(reply) + "\n")
