--- a/tests/test_decision_digest.py
+++ b/tests/test_decision_digest.py
@@ -12,6 +12,7 @@
 
 from __future__ import annotations
 
+import functools
 import json
 import math
 from pathlib import Path
@@ -87,6 +88,7 @@
     return lines
 
 
+@functools.cache
 def numpy_uses_libm() -> bool:
     """Return whether `numpy.exp` equals that of the C library, bit by bit, for arguments in the range of the draws."""
     arguments = np.linspace(-5.0, 5.0, EXP_SAMPLES)
