--- a/ingress/discovery/client.py
+++ b/ingress/discovery/client.py
@@ -16,7 +16,7 @@
 from ingress.decisions.events import EndpointListKind
 from ingress.decisions.settings import Settings
 from ingress.discovery.http import BusyError, HttpConnection, HttpError
-from ingress.runtime.clock import Clock
+from ingress.runtime.clock import MS_PER_SECOND, Clock
 from ingress.runtime.sockets import MAX_PORT, Address
 
 log = logging.getLogger(__name__)
@@ -39,7 +39,6 @@
 LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # a failure is logged after this many consecutive earlier ones
 MAX_STARTED_MS = 1e15
 MAX_WEIGHT = 1e9
-MS_PER_SECOND = 1000
 
 UpdateHandler = Callable[[EndpointListKind, "EndpointList"], None]
 
--- a/ingress/observability/request_log.py
+++ b/ingress/observability/request_log.py
@@ -17,6 +17,7 @@
 from ingress.decisions.settings import Settings
 from ingress.errors import IngressError
 from ingress.observability.log_reader import ATTEMPT_EVENT, RESULT_EVENTS, LogLine, LogReader
+from ingress.runtime.clock import MS_PER_SECOND
 from ingress.runtime.metrics import RequestResult
 
 MAX_REQUESTS = 2_000_000  # default limit on the requests kept in memory
@@ -24,7 +25,6 @@
 START_LOGGERS = frozenset(
     {"ingress.ingress", "mulleinhall.net.ingress"}
 )  # of this build, and of builds before the package was renamed
-MS_PER_SECOND = 1000
 UNKNOWN_NAMES = "requests of a plan or class that the settings do not name"
 
 
--- a/ingress/runtime/clock.py
+++ b/ingress/runtime/clock.py
@@ -7,6 +7,8 @@
 
 Clock = Callable[[], float]
 
+MS_PER_SECOND = 1000
+
 
 def unix_clock() -> Clock:
     """Return a clock of Unix time in seconds.
--- a/ingress/runtime/sockets.py
+++ b/ingress/runtime/sockets.py
@@ -6,6 +6,8 @@
 import socket
 import sys
 
+from ingress.runtime.clock import MS_PER_SECOND
+
 Address = tuple[str, int]  # host and port
 
 MAX_PORT = 65535
@@ -13,7 +15,6 @@
 KEEPALIVE_INTERVAL_S = 5  # the time between two probes
 KEEPALIVE_PROBES = 3  # the connection is closed after this many unanswered probes
 UNACKNOWLEDGED_TIMEOUT_S = 10.0  # the connection is closed if the peer acknowledges no sent data for this time
-MS_PER_SECOND = 1000
 
 CLOSED_STATES = frozenset((7, 8))  # tcpi_state: TCP_CLOSE (after a reset) and TCP_CLOSE_WAIT (<netinet/tcp.h>)
 LAST_RECEIVE_OFFSET = 52  # the offset of tcpi_last_data_recv (milliseconds) in struct tcp_info (<linux/tcp.h>)
--- a/ingress/server/commands.py
+++ b/ingress/server/commands.py
@@ -9,6 +9,7 @@
 from ingress.decisions.settings import Idempotency, RequestClass, Settings
 from ingress.errors import IngressError
 from ingress.protocols.resp import LONG_VALUE_BYTES, MAX_VALUE_BYTES, bulk
+from ingress.runtime.clock import MS_PER_SECOND
 from ingress.upstream.attempt import CommandParts
 
 READ_VERB = b"API.READ"
@@ -22,7 +23,6 @@
 MAX_GATEWAY_COUNT = 1 << 20
 MAX_UNITS = 1e9
 MAX_INTEGER_DIGITS = 11
-MS_PER_SECOND = 1000
 
 CUSTOMER_PATTERN = re.compile(rb"[0-9a-fA-F]{16}")
 UNITS_PATTERN = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
--- a/ingress/server/request_handler.py
+++ b/ingress/server/request_handler.py
@@ -21,6 +21,7 @@
     UploadStarted,
 )
 from ingress.protocols.resp import bulk
+from ingress.runtime.clock import MS_PER_SECOND
 from ingress.runtime.logs import REQUESTS
 from ingress.runtime.metrics import RequestResult
 from ingress.server.commands import Command
@@ -33,7 +34,6 @@
 
 log = logging.getLogger(__name__)
 
-MS_PER_SECOND = 1000
 FAILED = b"-ERR failed\r\n"
 BUSY = b"-BUSY\r\n"
 
--- a/ingress/server/request_log.py
+++ b/ingress/server/request_log.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 from ingress.decisions.endpoint import Outcome
+from ingress.runtime.clock import MS_PER_SECOND
 from ingress.runtime.logs import REQUESTS
 from ingress.runtime.metrics import RequestResult
 from ingress.server.pending_request import PendingRequest
 from ingress.upstream.attempt import Attempt
 
-MS_PER_SECOND = 1000
 MS_DECIMALS = 3  # Decimal places of a time in the log.
 
 
--- a/ingress/upstream/attempt.py
+++ b/ingress/upstream/attempt.py
@@ -9,9 +9,9 @@
 
 from msgspec import Struct
 
+from ingress.runtime.clock import MS_PER_SECOND
 from ingress.upstream.response_parser import AttemptResult, interpret_response
 
-MS_PER_SECOND = 1000
 MIN_TIME_LEFT_MS = 1  # 0 would not be a valid timeout in a command
 TIMEOUT_FIELD_PREFIX = b"d="  # prefix of the command field that gives the remaining time in milliseconds
 
--- a/ingress/upstream/counter_client.py
+++ b/ingress/upstream/counter_client.py
@@ -11,7 +11,7 @@
 
 from ingress.decisions.endpoint import Outcome
 from ingress.decisions.events import CounterReply
-from ingress.runtime.clock import Clock
+from ingress.runtime.clock import MS_PER_SECOND, Clock
 from ingress.runtime.sockets import Address
 
 log = logging.getLogger(__name__)
@@ -24,7 +24,6 @@
 MAX_WAITING_CALLS = 2000  # limit of calls that wait for a reply or a connection; more are rejected
 MAX_LINE_BYTES = 4096
 MAX_LIFETIME_MS = 60_000  # longer lifetimes are shortened to this
-MS_PER_SECOND = 1000
 TOTAL = re.compile(rb"-?[0-9]{1,30}(\.[0-9]{1,30})?([eE][-+]?[0-9]{1,2})?")  # matches finite numbers only
 MAX_LOGGED_BYTES = 80  # limit of the part of an invalid reply that is logged
 
