--- a/ingress/discovery/client.py
+++ b/ingress/discovery/client.py
@@ -17,6 +17,7 @@
 from ingress.decisions.settings import Settings
 from ingress.discovery.http import BusyError, HttpConnection, HttpError
 from ingress.runtime.clock import MS_PER_SECOND, Clock
+from ingress.runtime.logs import LOGGED_FAILURE_COUNTS
 from ingress.runtime.sockets import MAX_PORT, Address
 
 log = logging.getLogger(__name__)
@@ -36,7 +37,6 @@
 WAIT_GROWTH_FACTOR = 2.0  # the wait grows by this factor after each response that reports overload
 WAIT_DECAY_FACTOR = 0.9  # the wait shrinks by this factor after each successful response
 PAUSE_JITTER_FACTORS = (0.5, 1.5)  # lowest and highest factor of a pause
-LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # a failure is logged after this many consecutive earlier ones
 MAX_STARTED_MS = 1e15
 MAX_WEIGHT = 1e9
 
--- a/ingress/endpoint_registry/registration.py
+++ b/ingress/endpoint_registry/registration.py
@@ -18,6 +18,7 @@
 import aiohttp
 
 from ingress.errors import IngressError
+from ingress.runtime.logs import LOGGED_FAILURE_COUNTS
 
 log = logging.getLogger(__name__)
 
@@ -28,7 +29,6 @@
 MAX_BACKOFF_DOUBLINGS = 8
 BACKOFF_JITTER_RATIO = 0.5
 CALL_TIMEOUT_S = 2.0
-LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # A failure is logged if this many consecutive failures precede it.
 PERMANENT_ERROR_STATUSES = (HTTPStatus.BAD_REQUEST, HTTPStatus.UNAUTHORIZED, HTTPStatus.FORBIDDEN, HTTPStatus.CONFLICT)
 
 
--- a/ingress/endpoint_registry/relay.py
+++ b/ingress/endpoint_registry/relay.py
@@ -28,6 +28,7 @@
 from ingress.endpoint_registry.catalog import Catalog, EntryRecord
 from ingress.endpoint_registry.list_api import ListApi, answer_rejections
 from ingress.errors import IngressError
+from ingress.runtime.logs import LOGGED_FAILURE_COUNTS
 
 log = logging.getLogger(__name__)
 
@@ -38,7 +39,6 @@
 MAX_BACKOFF_S = 2.0  # The limit of the average backoff.
 MAX_BACKOFF_DOUBLINGS = 8
 BACKOFF_JITTER_RATIO = 0.5
-LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # A failure is logged if this many consecutive failures precede it.
 FOLLOW_OTHER_STORE_AFTER_S = 10.0  # The time runs from the last response of the followed store.
 MAX_RESPONSE_BYTES = 64 << 20
 
--- a/ingress/runtime/logs.py
+++ b/ingress/runtime/logs.py
@@ -7,6 +7,7 @@
 import sys
 
 KINDS = ("", "json", "requests")  # the valid values of EDGE_LOG
+LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)  # a repeated failure is logged after this many consecutive earlier ones
 TIME_DIGITS = 6  # decimal places of the time of a record: microseconds
 REQUESTS = logging.getLogger("ingress.requests")  # its records have an attribute `fields`
 REQUESTS.setLevel(logging.WARNING)
